--- a/bench/allowance/world.ts
+++ b/bench/allowance/world.ts
@@ -1,6 +1,6 @@
 /** Many hosts that share the allowances of teams, in virtual time: a row that says who issues, datagrams, and what goes wrong with them. */
 
-import { Issuers } from '../../src/core/allowance/issuers.ts'
+import { IssuerTable } from '../../src/core/allowance/issuertable.ts'
 import type { DataCentreId } from '../../src/core/id/datacentre.ts'
 import type { HostId } from '../../src/core/id/host.ts'
 import type { TeamId } from '../../src/core/id/team.ts'
@@ -46,7 +46,7 @@
   /** Milliseconds that operations waited for a token. */
   readonly waits: number[] = []
   private readonly teams: Team[]
-  private row: Issuers
+  private row: IssuerTable
   private readonly credited = new Map<number, number>()
   private draws = 0
 
@@ -70,7 +70,7 @@
       isCareless: breach === 'careless',
       isForgetful: breach === 'full after a start'
     }, true))
-    this.row = Issuers.first(entries.map(({ id }) => id))
+    this.row = IssuerTable.initial(entries.map(({ id }) => id))
     for (const host of this.hosts) this.sync(host)
     for (let i = 0; i < teams.length; i++) this.arrive(i)
   }
@@ -100,10 +100,10 @@
   replace (host: ModelHost): void {
     const place = this.row.places.findIndex(one => one.host === host.id)
     const up = this.hosts.filter(({ isUp, isCutFromStore }) => isUp && !isCutFromStore).map(({ id }) => id)
-    const next = place < 0 ? undefined : this.row.without(place, up)
+    const next = place < 0 ? undefined : this.row.withReplacement(place, up)
     if (next === undefined) return
     const places = this.options.breach === 'no wait' ? next.places.map(one => ({ ...one, term: 0 })) : next.places
-    this.row = Issuers.decode(JSON.stringify(places))!
+    this.row = IssuerTable.decode(JSON.stringify(places))!
     for (const one of this.hosts) this.agenda.add(NEWS_MS * this.chance(), () => this.tell(one))
   }
 
--- a/bench/control.ts
+++ b/bench/control.ts
@@ -16,7 +16,7 @@
 import type { Term } from '../src/core/id/term.ts'
 import { Placement } from '../src/core/membership/placement.ts'
 import { Session } from '../src/core/session/session.ts'
-import { Sessions } from '../src/core/session/sessions.ts'
+import { SessionTable } from '../src/core/session/sessiontable.ts'
 import { Token } from '../src/core/token.ts'
 import { paceOf } from '../src/shell/endpoint/paceof.ts'
 import { sampleFrame } from '../src/shell/peer/frames.ts'
@@ -45,7 +45,7 @@
 
 function sessionBytes (count: number): number {
   const before = heap()
-  const sessions = Sessions.create(count)
+  const sessions = SessionTable.create(count)
   for (let i = 0; i < count; i++) {
     const id = `station-${i}` as SessionId
     sessions.set(Session.create(id).with('shop' as GroupId, Token.of(3 as Term, i as Position)))
--- a/bench/core.ts
+++ b/bench/core.ts
@@ -16,10 +16,10 @@
 import type { SessionId } from '../src/core/id/session.ts'
 import type { Term } from '../src/core/id/term.ts'
 import { Hints } from '../src/core/routing/hints.ts'
-import { Marks } from '../src/core/routing/marks.ts'
+import { Watermarks } from '../src/core/routing/watermarks.ts'
 import { routeRead } from '../src/core/routing/route.ts'
-import { statementKind } from '../src/core/routing/statement.ts'
-import { Sessions } from '../src/core/session/sessions.ts'
+import { statementKind } from '../src/core/routing/statementkind.ts'
+import { SessionTable } from '../src/core/session/sessiontable.ts'
 import { Token } from '../src/core/token.ts'
 import type { Benchmark } from './benchmark.ts'
 
@@ -55,7 +55,7 @@
       admissionsPerSha1: admission / sha1,
       bytesPerSession: bytesOf(sessions) / SESSIONS,
       bytesPerSlot: bytesOf(slots) / SLOTS,
-      bytesPerQueued: bytesOf(queues) / (QUEUES * Limits.of(CONNECTIONS).mostQueued)
+      bytesPerQueued: bytesOf(queues) / (QUEUES * Limits.of(CONNECTIONS).maxQueued)
     }
   }
 }
@@ -76,13 +76,13 @@
   const group = groupOf('shop')
   const table = sessions()
   const near = new Set(['shop-2' as EndpointId])
-  const marks = Marks.empty.with(Token.of(TERM, 90 as Position), 1 as Instant)
+  const marks = Watermarks.empty.with(Token.of(TERM, 90 as Position), 1 as Instant)
   return i => {
     const hints = Hints.parse(SQL)
     const kind = statementKind(SQL)
     const token = table.get(sessionId(i % SESSIONS)).token(group.id)
     return kind === 'read' && hints.fields.read !== '' && routeRead({
-      group, freshness: { kind: 'session' }, token, marks, near, now: i as Instant, chance: 0.5, since: i as Instant, isRefreshed: false, isNoteDue: false
+      group, freshness: { kind: 'session' }, token, watermarks: marks, near, now: i as Instant, chance: 0.5, since: i as Instant, isRefreshed: false, isWriteNoticePending: false
     })
   }
 }
@@ -126,8 +126,8 @@
 }
 
 /** Sessions that have written to two groups each. */
-function sessions (): Sessions {
-  const table = Sessions.create(SESSIONS)
+function sessions (): SessionTable {
+  const table = SessionTable.create(SESSIONS)
   for (let i = 0; i < SESSIONS; i++) {
     const session = table.get(sessionId(i))
     table.set(session.with('shop' as GroupId, Token.of(TERM, 7 as Position)).with('wire' as GroupId, Token.of(TERM, 9 as Position)))
@@ -149,7 +149,7 @@
 
 function queue (): Admission {
   const admission = Admission.create(Limits.of(CONNECTIONS))
-  for (let i = 0; i < Limits.of(CONNECTIONS).mostQueued; i++) admission.step(arrival(i), 0 as Instant, 0)
+  for (let i = 0; i < Limits.of(CONNECTIONS).maxQueued; i++) admission.step(arrival(i), 0 as Instant, 0)
   return admission
 }
 
--- a/bench/document.ts
+++ b/bench/document.ts
@@ -4,7 +4,7 @@
 import type { ConfigVersion } from '../src/core/id/version.ts'
 import type { Json } from '../src/core/json.ts'
 import { Change } from '../src/core/config/change.ts'
-import { Holder } from '../src/core/config/holder.ts'
+import { ConfigHolder } from '../src/core/config/configholder.ts'
 import type { Benchmark } from './benchmark.ts'
 import { documentOf } from './documents.ts'
 
@@ -28,7 +28,7 @@
   const before = heap()
   const body = documentOf(size)
   const json = JSON.stringify(body)
-  const holder = Holder.empty.offer({ version: 1 as ConfigVersion, base: NONE, body })._unsafeUnwrap()
+  const holder = ConfigHolder.empty.offer({ version: 1 as ConfigVersion, base: NONE, body })._unsafeUnwrap()
   const held = heap() - before - json.length
   const changed = { version: 2 as ConfigVersion, base: 1 as ConfigVersion, body: CHANGE }
   const after = Change.of(CHANGE).apply(body)._unsafeUnwrap()
@@ -38,7 +38,7 @@
     [`bytes of a change at ${size}`, JSON.stringify(Change.between(body, after).json).length],
     [`heap bytes held at ${size}`, held],
     [`ms to take a change at ${size}`, cpuMs(() => holder.offer(changed))],
-    [`ms to take the whole at ${size}`, cpuMs(() => Holder.empty.offer({ version: 2 as ConfigVersion, base: NONE, body: JSON.parse(json) as Json }))]
+    [`ms to take the whole at ${size}`, cpuMs(() => ConfigHolder.empty.offer({ version: 2 as ConfigVersion, base: NONE, body: JSON.parse(json) as Json }))]
   ]
 }
 
--- a/bench/group/host.ts
+++ b/bench/group/host.ts
@@ -46,7 +46,7 @@
   private isDead = false
 
   private constructor (private readonly options: Options) {
-    const limits = Limits.of(options.connections).with({ mostPinned: [options.connections, options.connections, Math.max(1, options.connections - 1)] })
+    const limits = Limits.of(options.connections).with({ maxPinned: [options.connections, options.connections, Math.max(1, options.connections - 1)] })
     this.slots = options.endpoints.map(() => ({ policy: options.policy.admission(limits), idle: 0, open: 0, usedAt: 0, refusedAt: undefined }))
     this.standings = options.endpoints.map(() => Standing.unknown)
     this.reads = SharedReads.create(options.policy.order)
--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -15,7 +15,7 @@
 const POLICIES: Readonly<Record<string, () => Policy>> = {
   admission: () => Admission.create(limits),
   unjittered: () => Admission.create(limits.with({ jitter: 0 })),
-  unbooked: () => Admission.create(limits.with({ returnShare: 1e6 })),
+  unbooked: () => Admission.create(limits.with({ retryShare: 1e6 })),
   earlier: () => FifoSlot.earlier(connections),
   fifo: () => FifoSlot.plain(connections)
 }
@@ -26,7 +26,7 @@
     { figure: 'admission.urgentInTime', atLeast: 0.99 },
     { figure: 'admission.normalInTime', atLeast: 0.99 },
     { figure: 'admission.goodputOfPeak', atLeast: 0.9 },
-    { figure: 'admission.mostQueued', atMost: limits.mostQueued },
+    { figure: 'admission.mostQueued', atMost: limits.maxQueued },
     { figure: 'admission.recoveryMs', atMost: 5000 },
     { figure: 'admission.urgentInTimeWhileBrowsing', atLeast: 0.99 },
     { figure: 'admission.normalInTimeWhileBrowsing', atLeast: 0.99 },
--- a/bench/load/load.test.ts
+++ b/bench/load/load.test.ts
@@ -36,7 +36,7 @@
   })
 
   it('the queue stays within its bound', () => {
-    expect(run.mostQueued).toBeLessThanOrEqual(limits.mostQueued)
+    expect(run.mostQueued).toBeLessThanOrEqual(limits.maxQueued)
   })
 
   it('those refused get an answer, not silence until their deadline', () => {
@@ -89,7 +89,7 @@
  */
 it('clients told when to come back aren\'t refused a second time by each other', () => {
   const booked = Scenario.burstOf(admission, SEED, MOST_LOAD)
-  const unbooked = Scenario.burstOf(() => Admission.create(limits.with({ returnShare: 1e6 })), SEED, MOST_LOAD)
+  const unbooked = Scenario.burstOf(() => Admission.create(limits.with({ retryShare: 1e6 })), SEED, MOST_LOAD)
   expect(booked.tally('browsing').refused).toBeLessThan(unbooked.tally('browsing').refused / 3)
   expect(inTime(booked, 'browsing', burst.to, burst.to + 3000)).toBeGreaterThanOrEqual(0.99)
   expect(inTime(unbooked, 'browsing', burst.to, burst.to + 3000)).toBeLessThan(0.5)
--- a/bench/members.ts
+++ b/bench/members.ts
@@ -1,9 +1,9 @@
 /** Many members of the configuration's gossip in one process, on a virtual clock: the core as it is, no sockets. */
 
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
-import type { Candidate } from '../src/core/config/candidate.ts'
-import { Holder } from '../src/core/config/holder.ts'
-import { pollDelay } from '../src/core/config/polling.ts'
+import type { ConfigCandidate } from '../src/core/config/configcandidate.ts'
+import { ConfigHolder } from '../src/core/config/configholder.ts'
+import { pollDelayMs } from '../src/core/config/polldelay.ts'
 import type { GossipEvent } from '../src/core/gossip/event.ts'
 import { Gossip } from '../src/core/gossip/gossip.ts'
 import { Roles } from '../src/core/gossip/roles.ts'
@@ -27,7 +27,7 @@
   readonly region: number
   readonly roles: Roles
   gossip: Gossip
-  holder: Holder
+  holder: ConfigHolder
   misses: number
   isUp: boolean
   sentBytes: number
@@ -74,7 +74,7 @@
       region: i % DATA_CENTRES % REGIONS,
       roles: Roles.of(host.id, hosts),
       gossip: Gossip.create(),
-      holder: Holder.empty,
+      holder: ConfigHolder.empty,
       misses: 0,
       isUp: true,
       sentBytes: 0
@@ -142,11 +142,11 @@
       member.misses++
     }
     const hasConfig = member.holder.version > NONE
-    const ms = pollDelay({ isPoller: member.roles.isPoller, hasConfig, misses: member.misses }, this.chance())
+    const ms = pollDelayMs({ isPoller: member.roles.isPoller, hasConfig, misses: member.misses }, this.chance())
     this.clock.after(ms, () => this.poll(member))
   }
 
-  private offer (member: Member, candidate: Candidate, from: HostId | undefined): void {
+  private offer (member: Member, candidate: ConfigCandidate, from: HostId | undefined): void {
     const offered = member.holder.offer(candidate)
     if (offered.isErr()) {
       if (offered.error.kind === 'gap') this.step(member, { kind: 'missed', from: from! })
@@ -198,7 +198,7 @@
 }
 
 /** A document that differs from version to version; its size is counted, not carried. */
-function documentOf (version: ConfigVersion): Candidate {
+function documentOf (version: ConfigVersion): ConfigCandidate {
   return {
     version,
     base: NONE,
--- a/scenarios/world/proxy.ts
+++ b/scenarios/world/proxy.ts
@@ -9,7 +9,7 @@
 import type { GroupId } from '../../src/core/id/group.ts'
 import type { HostId } from '../../src/core/id/host.ts'
 import type { SessionId } from '../../src/core/id/session.ts'
-import { Sessions } from '../../src/core/session/sessions.ts'
+import { SessionTable } from '../../src/core/session/sessiontable.ts'
 import type { parseSettings } from '../../src/core/settings/settings.ts'
 import { CallerConnection } from '../../src/shell/caller/connection.ts'
 import type { CallerContext } from '../../src/shell/caller/context.ts'
@@ -69,7 +69,7 @@
       host: this.id,
       config: () => this.configs.config,
       groups: this.groups,
-      sessions: Sessions.create(settings.requests.sessions),
+      sessions: SessionTable.create(settings.requests.sessions),
       port: endpoint => this.port(endpoint),
       dataCentre: process.node.dataCentre as DataCentreId,
       chance: () => process.chance.next(),
--- a/scenarios/world/sql.ts
+++ b/scenarios/world/sql.ts
@@ -1,6 +1,6 @@
 /** The little SQL that fake endpoints know: lists, transactions, and the ledger of idempotency keys. */
 
-import { skipBlank } from '../../src/core/routing/blank.ts'
+import { skipLeadingTrivia } from '../../src/core/routing/trivia.ts'
 import type { Change } from './change.ts'
 
 type Statement =
@@ -39,7 +39,7 @@
 ]
 
 export function parseSql (sql: string): Statement {
-  const text = skipBlank(sql).trim()
+  const text = skipLeadingTrivia(sql).trim()
   for (const { pattern, read } of FORMS) {
     const match = pattern.exec(text)
     if (match !== null) return read(match.slice(1))
--- a/src/core/admission/admission.test.ts
+++ b/src/core/admission/admission.test.ts
@@ -23,7 +23,7 @@
 
   /** A slot with all its connections open and idle. */
   static warm (connections = 14, limits = Limits.of(connections)): Drive {
-    const it = new Drive(limits.with({ opening: { ...limits.opening, most: connections, everyMs: 0 } }))
+    const it = new Drive(limits.with({ opening: { ...limits.opening, most: connections, intervalMs: 0 } }))
     const ids = Array.from({ length: connections }, () => it.arrive({ rank: URGENT }))
     while (it.opens > 0) it.open()
     for (const id of ids) it.finish(id)
@@ -148,7 +148,7 @@
   })
 
   it('gives up the greedy caller\'s newest when the queue is full', () => {
-    const slot = Drive.warm(14, Limits.of(14).with({ mostQueued: 20 }))
+    const slot = Drive.warm(14, Limits.of(14).with({ maxQueued: 20 }))
     slot.many(12, { caller: 'greedy' })
     const greedy = slot.many(20, { caller: 'greedy' })
     slot.arrive({ caller: 'modest' })
@@ -294,7 +294,7 @@
 
 it('in any order of events: one answer each, no connection lent twice, nothing over its bound', () => {
   fc.assert(fc.property(steps, all => {
-    const limits = Limits.of(6).with({ mostQueued: 12 })
+    const limits = Limits.of(6).with({ maxQueued: 12 })
     const slot = new Drive(limits)
     const cancelled = new Set<number>()
     const running = new Set<number>()
@@ -321,7 +321,7 @@
       const { counts } = slot.admission
       expect(running.size).toBe(counts.running)
       expect(counts.running + counts.idle + counts.pending).toBeLessThanOrEqual(limits.connections)
-      expect(slot.admission.queued).toBeLessThanOrEqual(limits.mostQueued)
+      expect(slot.admission.queued).toBeLessThanOrEqual(limits.maxQueued)
     }
     slot.now += 1000
     slot.step({ kind: 'tick' })
--- a/src/core/admission/opener.ts
+++ b/src/core/admission/connectionpacer.ts
@@ -4,19 +4,19 @@
 import type { Limits } from './limits.ts'
 
 /** Counts the openings under way, spaces them, and backs off after failures. */
-export class Opener {
-  private underWay = 0
+export class ConnectionPacer {
+  private inProgress = 0
   private failures = 0
   private nextAt = -Infinity as Instant
 
   private constructor (private readonly opening: Limits['opening']) {}
 
-  static create (opening: Limits['opening']): Opener {
-    return new Opener(opening)
+  static create (opening: Limits['opening']): ConnectionPacer {
+    return new ConnectionPacer(opening)
   }
 
   get pending (): number {
-    return this.underWay
+    return this.inProgress
   }
 
   isBackingOff (now: Instant): boolean {
@@ -29,26 +29,26 @@
   }
 
   /** Takes leave to open one connection. After a failure one try at a time goes out until one succeeds. */
-  take (now: Instant): boolean {
+  tryStart (now: Instant): boolean {
     const most = this.failures > 0 ? 1 : this.opening.most
-    if (this.underWay >= most || now < this.nextAt) return false
-    this.underWay++
-    this.nextAt = now + this.opening.everyMs as Instant
+    if (this.inProgress >= most || now < this.nextAt) return false
+    this.inProgress++
+    this.nextAt = now + this.opening.intervalMs as Instant
     return true
   }
 
-  succeeded (): void {
-    this.underWay--
-    this.recovered()
+  recordSuccess (): void {
+    this.inProgress--
+    this.resetBackOff()
   }
 
   /** Room was found, and nothing opened yet. */
-  found (): void {
-    this.underWay--
+  recordVacancy (): void {
+    this.inProgress--
   }
 
   /** The endpoint takes connections again. */
-  recovered (): void {
+  resetBackOff (): void {
     this.failures = 0
   }
 
@@ -58,7 +58,7 @@
    * what waits goes on waiting for as long as its time allows.
    */
   refused (now: Instant, chance: number): void {
-    this.underWay--
+    this.inProgress--
     this.rest(now, chance)
   }
 
@@ -71,14 +71,14 @@
    * Against a server that comes back and is met by every slot owner at once:
    * tries get rarer with each failure, and chance spreads them.
    */
-  failed (now: Instant, chance: number): void {
-    this.underWay--
+  recordFailure (now: Instant, chance: number): void {
+    this.inProgress--
     this.backOff(now, chance)
   }
 
   /** The same for an opening that wasn't counted here. */
   backOff (now: Instant, chance: number): void {
-    const { backOffMs, mostBackOffMs } = this.opening
+    const { backOffMs, maxBackOffMs: mostBackOffMs } = this.opening
     const ms = Math.min(mostBackOffMs, backOffMs * 2 ** this.failures)
     this.failures++
     this.nextAt = now + ms * (0.5 + chance / 2) as Instant
--- a/src/core/admission/shares.ts
+++ b/src/core/admission/connectionshares.ts
@@ -8,19 +8,19 @@
 const WEIGHT = 1 / 8
 
 /** Counts connections in use by class, and the pinned ones among them. */
-export class Shares {
+export class ConnectionShares {
   private readonly used = classes.map(() => 0)
   private readonly pinned = classes.map(() => 0)
   private readonly meanUsed = classes.map(() => 0)
   private readonly meanPinned = classes.map(() => 0)
 
   /** Connections that are open or being opened: what estimates may count on. */
-  open = 1
+  openOrOpening = 1
 
   private constructor (public limits: Limits) {}
 
-  static create (limits: Limits): Shares {
-    return new Shares(limits)
+  static create (limits: Limits): ConnectionShares {
+    return new ConnectionShares(limits)
   }
 
   /** Connections in use by the class. */
@@ -49,12 +49,12 @@
    * Transactions hold a connection between statements too, for as long as a
    * caller likes, so theirs is bounded further.
    */
-  mayStart (rank: number, isTransaction: boolean): boolean {
+  canStart (rank: number, isTransaction: boolean): boolean {
     const inUse = sum(this.used)
     let kept = 0
     for (let higher = 0; higher < rank; higher++) kept += Math.max(0, this.limits.reserved[higher]! - this.used[higher]!)
     if (inUse + kept >= this.limits.connections) return false
-    return !isTransaction || this.mayPin(rank)
+    return !isTransaction || this.canPin(rank)
   }
 
   /** Takes the present counts into the averages. */
@@ -66,9 +66,9 @@
   }
 
   /** Connections that the class's queue can count on: what the higher classes and transactions leave it, never less than `least`. */
-  leftFor (rank: number, isTransaction: boolean, least: number): number {
-    const { reserved, mostPinned } = this.limits
-    let left = this.open
+  availableTo (rank: number, isTransaction: boolean, least: number): number {
+    const { reserved, maxPinned: mostPinned } = this.limits
+    let left = this.openOrOpening
     for (let other = 0; other < classes.length; other++) {
       left -= other < rank ? Math.max(reserved[other]!, this.meanUsed[other]!) : this.meanPinned[other]!
     }
@@ -77,11 +77,11 @@
   }
 
   /** The bound of a class covers the classes below it too: pins of browsing never use up those of the urgent. */
-  private mayPin (rank: number): boolean {
+  private canPin (rank: number): boolean {
     let held = 0
     for (let upper = classes.length - 1; upper >= 0; upper--) {
       held += this.pinned[upper]!
-      if (upper <= rank && held >= this.limits.mostPinned[upper]!) return false
+      if (upper <= rank && held >= this.limits.maxPinned[upper]!) return false
     }
     return true
   }
--- a/src/core/admission/fairqueue.ts
+++ b/src/core/admission/fairqueue.ts
@@ -4,10 +4,10 @@
 import type { Instant } from '../id/instant.ts'
 import type { AdmissionRequest } from './request.ts'
 
-interface Lane {
+interface CallerQueue {
   readonly waiting: AdmissionRequest[]
   /** Milliseconds of connections that the caller has used, counted from when it joined. */
-  used: number
+  usedMs: number
 }
 
 /**
@@ -20,7 +20,7 @@
  * Changes in place: it's touched by every request, and copying would cost its length.
  */
 export class FairQueue {
-  private readonly lanes = new Map<CallerId, Lane>()
+  private readonly callerQueues = new Map<CallerId, CallerQueue>()
   private length = 0
   /** The most that a caller had used when it was served. */
   private level = 0
@@ -36,44 +36,44 @@
   }
 
   lengthOf (caller: CallerId): number {
-    return this.lanes.get(caller)?.waiting.length ?? 0
+    return this.callerQueues.get(caller)?.waiting.length ?? 0
   }
 
   /** How many requests go first if the caller's next one joins, the others taking turns with it. */
-  ahead (caller: CallerId, now: Instant): number {
-    const count = (lane: Lane) => lane.waiting.reduce((sum, request) => sum + (isInAim(request, now) ? 1 : 0), 0)
-    const joined = this.lanes.get(caller)
+  countAhead (caller: CallerId, now: Instant): number {
+    const count = (lane: CallerQueue) => lane.waiting.reduce((sum, request) => sum + (isBeforeAim(request, now) ? 1 : 0), 0)
+    const joined = this.callerQueues.get(caller)
     const own = joined === undefined ? 0 : count(joined)
     let sum = own
-    for (const lane of this.lanes.values()) {
+    for (const lane of this.callerQueues.values()) {
       if (lane !== joined) sum += Math.min(count(lane), own + 1)
     }
     return sum
   }
 
   push (request: AdmissionRequest): void {
-    const lane = this.lane(request.caller)
-    if (lane.waiting.length === 0) lane.used = Math.max(lane.used, this.joinLevel())
+    const lane = this.queueOf(request.caller)
+    if (lane.waiting.length === 0) lane.usedMs = Math.max(lane.usedMs, this.initialUsedMs())
     lane.waiting.push(request)
     this.length++
   }
 
   peek (now: Instant): AdmissionRequest | undefined {
-    return this.turn(now)?.request
+    return this.nextTurn(now)?.request
   }
 
   shift (now: Instant): AdmissionRequest | undefined {
-    const turn = this.turn(now)
+    const turn = this.nextTurn(now)
     if (turn === undefined) return undefined
     const { lane, request } = turn
-    this.level = Math.max(this.level, lane.used)
+    this.level = Math.max(this.level, lane.usedMs)
     this.length--
     lane.waiting.splice(lane.waiting.indexOf(request), 1)
     return request
   }
 
   remove (request: AdmissionRequest): void {
-    const waiting = this.lanes.get(request.caller)?.waiting
+    const waiting = this.callerQueues.get(request.caller)?.waiting
     const at = waiting?.indexOf(request) ?? -1
     if (at < 0) return
     waiting!.splice(at, 1)
@@ -82,23 +82,23 @@
 
   /** Charges connection time to a caller; negative to correct an estimate. */
   charge (caller: CallerId, ms: number): void {
-    this.lane(caller).used += ms
+    this.queueOf(caller).usedMs += ms
   }
 
   /** The newest request of the caller with the most waiting: the one to give up for another caller's first. */
-  longest (): AdmissionRequest | undefined {
-    let most: Lane | undefined
-    for (const lane of this.lanes.values()) {
+  newestOfLongest (): AdmissionRequest | undefined {
+    let most: CallerQueue | undefined
+    for (const lane of this.callerQueues.values()) {
       if (lane.waiting.length > (most?.waiting.length ?? 0)) most = lane
     }
     return most?.waiting.at(-1)
   }
 
   /** Every waiting request with the number that goes before it. */
-  * inTurn (now: Instant): Generator<readonly [AdmissionRequest, number]> {
-    const lanes = [...this.lanes.values()].filter(lane => lane.waiting.length > 0)
-    const inAim = lanes.map(({ waiting }) => waiting.filter(request => isInAim(request, now)))
-    const late = lanes.map(({ waiting }) => waiting.filter(request => !isInAim(request, now)))
+  * inServingOrder (now: Instant): Generator<readonly [AdmissionRequest, number]> {
+    const lanes = [...this.callerQueues.values()].filter(lane => lane.waiting.length > 0)
+    const inAim = lanes.map(({ waiting }) => waiting.filter(request => isBeforeAim(request, now)))
+    const late = lanes.map(({ waiting }) => waiting.filter(request => !isBeforeAim(request, now)))
     let before = 0
     for (const part of [inAim, late]) {
       const longest = Math.max(0, ...part.map(({ length }) => length))
@@ -112,46 +112,46 @@
   }
 
   /** Forgets callers that wait for nothing and owe nothing, so that the table doesn't grow with all callers ever seen. */
-  tidy (): void {
-    for (const [caller, lane] of this.lanes) {
-      if (lane.waiting.length === 0 && (this.length === 0 || lane.used <= this.level)) this.lanes.delete(caller)
+  removeIdleCallers (): void {
+    for (const [caller, lane] of this.callerQueues) {
+      if (lane.waiting.length === 0 && (this.length === 0 || lane.usedMs <= this.level)) this.callerQueues.delete(caller)
     }
   }
 
-  private lane (caller: CallerId): Lane {
-    const known = this.lanes.get(caller)
+  private queueOf (caller: CallerId): CallerQueue {
+    const known = this.callerQueues.get(caller)
     if (known !== undefined) return known
-    const lane: Lane = { waiting: [], used: this.joinLevel() }
-    this.lanes.set(caller, lane)
+    const lane: CallerQueue = { waiting: [], usedMs: this.initialUsedMs() }
+    this.callerQueues.set(caller, lane)
     return lane
   }
 
   /** Where a caller that joins begins: level with the next in turn, so that idling earns nothing and a burst before it costs nothing. */
-  private joinLevel (): number {
-    return Math.min(this.level, this.next()?.used ?? this.level)
+  private initialUsedMs (): number {
+    return Math.min(this.level, this.nextCaller()?.usedMs ?? this.level)
   }
 
-  private turn (now: Instant): { readonly lane: Lane, readonly request: AdmissionRequest } | undefined {
-    let best: { readonly lane: Lane, readonly request: AdmissionRequest } | undefined
-    for (const lane of this.lanes.values()) {
-      if (best !== undefined && lane.used >= best.lane.used) continue
-      const request = lane.waiting.find(request => isInAim(request, now))
+  private nextTurn (now: Instant): { readonly lane: CallerQueue, readonly request: AdmissionRequest } | undefined {
+    let best: { readonly lane: CallerQueue, readonly request: AdmissionRequest } | undefined
+    for (const lane of this.callerQueues.values()) {
+      if (best !== undefined && lane.usedMs >= best.lane.usedMs) continue
+      const request = lane.waiting.find(request => isBeforeAim(request, now))
       if (request !== undefined) best = { lane, request }
     }
     if (best !== undefined) return best
-    const lane = this.next()
+    const lane = this.nextCaller()
     return lane === undefined ? undefined : { lane, request: lane.waiting[0]! }
   }
 
-  private next (): Lane | undefined {
-    let best: Lane | undefined
-    for (const lane of this.lanes.values()) {
-      if (lane.waiting.length > 0 && (best === undefined || lane.used < best.used)) best = lane
+  private nextCaller (): CallerQueue | undefined {
+    let best: CallerQueue | undefined
+    for (const lane of this.callerQueues.values()) {
+      if (lane.waiting.length > 0 && (best === undefined || lane.usedMs < best.usedMs)) best = lane
     }
     return best
   }
 }
 
-function isInAim ({ aim }: AdmissionRequest, now: Instant): boolean {
+function isBeforeAim ({ aim }: AdmissionRequest, now: Instant): boolean {
   return aim === undefined || now <= aim
 }
--- a/src/core/admission/limits.ts
+++ b/src/core/admission/limits.ts
@@ -4,53 +4,53 @@
   /** Most openings under way at once. */
   readonly most: number
   /** Least time from one opening to the next. */
-  readonly everyMs: number
+  readonly intervalMs: number
   /** The pause after the first failure; it doubles with each further one. */
   readonly backOffMs: number
-  readonly mostBackOffMs: number
+  readonly maxBackOffMs: number
 }
 
 interface Fields {
   readonly connections: number
   /** Most requests that wait, of all classes together: the bound on the queue's memory. */
-  readonly mostQueued: number
+  readonly maxQueued: number
   /** Connections by rank that lower classes leave alone. */
   readonly reserved: readonly number[]
   /** Most connections by rank that transactions of the class and of those below it may hold. */
-  readonly mostPinned: readonly number[]
+  readonly maxPinned: readonly number[]
   readonly opening: Opening
   /** The longest time to come back, before the jitter. */
-  readonly mostRetryAfterMs: number
+  readonly maxRetryAfterMs: number
   /** The share of a class's connections that is booked out to those told to come back; the rest is left to new requests. */
-  readonly returnShare: number
+  readonly retryShare: number
   /** The time to come back is stretched by up to this share of itself. */
   readonly jitter: number
 }
 
 /** Shares of the connections, by rank. */
-const RESERVED = [1 / 8, 1 / 8, 0]
-const PINNED = [7 / 8, 5 / 8, 1 / 4]
+const RESERVED_SHARES = [1 / 8, 1 / 8, 0]
+const MAX_PINNED_SHARES = [7 / 8, 5 / 8, 1 / 4]
 const QUEUED_PER_CONNECTION = 128
 
 /** Immutable; `with` yields limits that differ. */
 export class Limits implements Fields {
   readonly connections: number
-  readonly mostQueued: number
+  readonly maxQueued: number
   readonly reserved: readonly number[]
-  readonly mostPinned: readonly number[]
+  readonly maxPinned: readonly number[]
   readonly opening: Opening
-  readonly mostRetryAfterMs: number
-  readonly returnShare: number
+  readonly maxRetryAfterMs: number
+  readonly retryShare: number
   readonly jitter: number
 
   private constructor (fields: Fields) {
     this.connections = fields.connections
-    this.mostQueued = fields.mostQueued
+    this.maxQueued = fields.maxQueued
     this.reserved = fields.reserved
-    this.mostPinned = fields.mostPinned
+    this.maxPinned = fields.maxPinned
     this.opening = fields.opening
-    this.mostRetryAfterMs = fields.mostRetryAfterMs
-    this.returnShare = fields.returnShare
+    this.maxRetryAfterMs = fields.maxRetryAfterMs
+    this.retryShare = fields.retryShare
     this.jitter = fields.jitter
   }
 
@@ -59,12 +59,12 @@
     const most = Math.max(1, connections)
     return new Limits({
       connections: most,
-      mostQueued: most * QUEUED_PER_CONNECTION,
-      reserved: RESERVED.map(share => Math.max(0, Math.min(most - 2, Math.ceil(most * share)))),
-      mostPinned: PINNED.map(share => Math.max(1, Math.floor(most * share))),
-      opening: { most: 4, everyMs: 5, backOffMs: 50, mostBackOffMs: 1000 },
-      mostRetryAfterMs: 60_000,
-      returnShare: 1 / 4,
+      maxQueued: most * QUEUED_PER_CONNECTION,
+      reserved: RESERVED_SHARES.map(share => Math.max(0, Math.min(most - 2, Math.ceil(most * share)))),
+      maxPinned: MAX_PINNED_SHARES.map(share => Math.max(1, Math.floor(most * share))),
+      opening: { most: 4, intervalMs: 5, backOffMs: 50, maxBackOffMs: 1000 },
+      maxRetryAfterMs: 60_000,
+      retryShare: 1 / 4,
       jitter: 0.5
     })
   }
--- a/src/core/admission/servicetime.ts
+++ b/src/core/admission/servicetime.ts
@@ -3,10 +3,10 @@
 import type { Instant } from '../id/instant.ts'
 
 /** Taken until the first sample: a guess for a short statement. */
-const FIRST_MS = 5
-const LEAST_MS = 0.05
+const INITIAL_MS = 5
+const MIN_MS = 0.05
 const WEIGHT = 1 / 16
-const CLIP = 4
+const CLIP_FACTOR = 4
 const HALF_LIFE_MS = 1000
 
 /**
@@ -16,8 +16,8 @@
  * mean that says how soon a queue drains. Changes in place: it takes a sample of every request.
  */
 export class ServiceTime {
-  private mean = FIRST_MS
-  private lastAt = 0 as Instant
+  private mean = INITIAL_MS
+  private sampledAt = 0 as Instant
 
   private constructor () {}
 
@@ -27,9 +27,9 @@
 
   add (ms: number, now: Instant): void {
     const mean = this.at(now)
-    const clipped = Math.min(mean * CLIP, Math.max(mean / CLIP, ms))
-    this.mean = Math.max(LEAST_MS, mean + (clipped - mean) * WEIGHT)
-    this.lastAt = now
+    const clipped = Math.min(mean * CLIP_FACTOR, Math.max(mean / CLIP_FACTOR, ms))
+    this.mean = Math.max(MIN_MS, mean + (clipped - mean) * WEIGHT)
+    this.sampledAt = now
   }
 
   /**
@@ -49,7 +49,7 @@
    * So a mean without samples is halved each second, down to the first guess.
    */
   at (now: Instant): number {
-    const quiet = now - this.lastAt - HALF_LIFE_MS
-    return quiet <= 0 || this.mean <= FIRST_MS ? this.mean : Math.max(FIRST_MS, this.mean * 0.5 ** (quiet / HALF_LIFE_MS))
+    const quiet = now - this.sampledAt - HALF_LIFE_MS
+    return quiet <= 0 || this.mean <= INITIAL_MS ? this.mean : Math.max(INITIAL_MS, this.mean * 0.5 ** (quiet / HALF_LIFE_MS))
   }
 }
--- a/src/core/allowance/allowance.test.ts
+++ b/src/core/allowance/allowance.test.ts
@@ -4,13 +4,13 @@
 import type { HostId } from '../id/host.ts'
 import type { Instant } from '../id/instant.ts'
 import type { TeamId } from '../id/team.ts'
-import { Bucket } from './bucket.ts'
-import { Issuer } from './issuer.ts'
-import { Issuers } from './issuers.ts'
-import { Mandate } from './mandate.ts'
+import { TokenBucket } from './tokenbucket.ts'
+import { TokenIssuer } from './tokenissuer.ts'
+import { IssuerTable } from './issuertable.ts'
+import { IssuerLease } from './issuerlease.ts'
 import { Shard } from './shard.ts'
-import { Silence } from './silence.ts'
-import { Tokens } from './tokens.ts'
+import { IssuerBackOff } from './issuerbackoff.ts'
+import { TeamTokens } from './teamtokens.ts'
 
 const BOUNDS = { windowMs: 5000, overage: 0.1, slack: 20 }
 const at = (ms: number): Instant => ms as Instant
@@ -39,73 +39,73 @@
 describe('a bucket', () => {
   // One shard: one token a second, and a depth of 1.6.
   const shard = Shard.of({ perSecond: 1, burst: 1 }, { ...BOUNDS, overage: 0, slack: 2 })
-  const taken = (bucket: Bucket, wanted: number, ms: number) => bucket.take(wanted, at(ms)).taken
-
-  it.each<[string, Bucket, number, number]>([
-    ['is full where nobody issued before', Bucket.since(at(-Infinity), shard), 100, 1],
-    ['is empty at its start', Bucket.since(at(0), shard), 0, 0],
-    ['fills', Bucket.since(at(0), shard), 1500, 1],
-    ['fills up to its depth', Bucket.since(at(0), shard), 60_000, 1],
-    ['begins with its credit, which may be less than a token', Bucket.since(at(0), shard).plus(shard.credit, at(0)), 0, 0]
+  const taken = (bucket: TokenBucket, wanted: number, ms: number) => bucket.take(wanted, at(ms)).taken
+
+  it.each<[string, TokenBucket, number, number]>([
+    ['is full where nobody issued before', TokenBucket.since(at(-Infinity), shard), 100, 1],
+    ['is empty at its start', TokenBucket.since(at(0), shard), 0, 0],
+    ['fills', TokenBucket.since(at(0), shard), 1500, 1],
+    ['fills up to its depth', TokenBucket.since(at(0), shard), 60_000, 1],
+    ['begins with its credit, which may be less than a token', TokenBucket.since(at(0), shard).withTokens(shard.credit, at(0)), 0, 0]
   ])('%s', (_name, bucket, ms, expected) => expect(taken(bucket, 10, ms)).toBe(expected))
 
   it('gives no more than is wanted, and tells when there is another', () => {
-    const { next } = Bucket.since(at(-Infinity), shard).take(1, at(0))
+    const { next } = TokenBucket.since(at(-Infinity), shard).take(1, at(0))
     expect(taken(next, 10, 0)).toBe(0)
     expect(next.nextMs(at(0))).toBe(400)
   })
 
   it('keeps what gathered under another limit, as far as that lets it', () => {
-    const full = Bucket.since(at(-Infinity), Shard.of({ perSecond: 300, burst: 300 }, BOUNDS))
-    expect(taken(full.under(shard, at(0)), 10, 0)).toBe(1)
-    expect(taken(Bucket.since(at(0), shard).under(Shard.of({ perSecond: 300, burst: 300 }, BOUNDS), at(0)), 10, 0)).toBe(0)
+    const full = TokenBucket.since(at(-Infinity), Shard.of({ perSecond: 300, burst: 300 }, BOUNDS))
+    expect(taken(full.withShard(shard, at(0)), 10, 0)).toBe(1)
+    expect(taken(TokenBucket.since(at(0), shard).withShard(Shard.of({ perSecond: 300, burst: 300 }, BOUNDS), at(0)), 10, 0)).toBe(0)
   })
 
   it('never has one where the rate is nothing and the burst is used', () => {
     const none = Shard.of({ perSecond: 0, burst: 0 }, { ...BOUNDS, slack: 0 })
-    expect(Bucket.since(at(0), none).nextMs(at(0))).toBe(Infinity)
+    expect(TokenBucket.since(at(0), none).nextMs(at(0))).toBe(Infinity)
   })
 })
 
 describe('the hosts that issue', () => {
   it.each([[1, 1], [7, 7], [84, 12], [300, 43], [2000, 286]])('%d hosts have %d places', (count, expected) => {
-    const { places } = Issuers.first(hosts(count))
+    const { places } = IssuerTable.initial(hosts(count))
     expect([places.length, new Set(places.map(({ host }) => host)).size]).toEqual([expected, expected])
   })
 
   it('are read as they were written', () => {
-    const made = Issuers.first(hosts(84)).without(2, hosts(84))!
-    expect(Issuers.decode(made.encode())!.places).toEqual(made.places)
-    expect(['', '[]', '{}', '[{"host":1}]'].map(text => Issuers.decode(text))).toEqual([undefined, undefined, undefined, undefined])
+    const made = IssuerTable.initial(hosts(84)).withReplacement(2, hosts(84))!
+    expect(IssuerTable.decode(made.encode())!.places).toEqual(made.places)
+    expect(['', '[]', '{}', '[{"host":1}]'].map(text => IssuerTable.decode(text))).toEqual([undefined, undefined, undefined, undefined])
   })
 
   it('have another in place of one that is gone, and no other is moved', () => {
-    const before = Issuers.first(hosts(84))
-    const after = before.without(2, hosts(84))!
+    const before = IssuerTable.initial(hosts(84))
+    const after = before.withReplacement(2, hosts(84))!
     expect(after.places.filter(({ host }, i) => host !== before.places[i]!.host).length).toBe(1)
     expect(after.places.map(({ term }) => term)).toEqual([0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0])
   })
 })
 
 describe('a mandate', () => {
-  const first = Issuers.first(hosts(84))
+  const first = IssuerTable.initial(hosts(84))
   const [own, other] = [first.places[0]!.host, first.places[1]!.host]
-  const options = { self: own, trustMs: 5000, isFirstStart: false, bornAt: at(40) }
-  const moved = first.without(1, hosts(84))!
-  const backAgain = Issuers.decode(JSON.stringify(first.places.map((place, i) => i === 0 ? { ...place, term: 2 } : place)))!
+  const options = { self: own, leaseMs: 5000, isFirstStart: false, processStartedAt: at(40) }
+  const moved = first.withReplacement(1, hosts(84))!
+  const backAgain = IssuerTable.decode(JSON.stringify(first.places.map((place, i) => i === 0 ? { ...place, term: 2 } : place)))!
   const successor = moved.places[1]!.host
 
-  it.each<[string, Mandate, number, number, number, number | undefined]>([
-    ['of nobody', Mandate.none(options), 0, 0, 10, undefined],
-    ['at its own place, from its birth', Mandate.none(options).learnt(first, at(100)), 0, 0, 100, 40],
-    ['at the first start of all, from ever', Mandate.none({ ...options, isFirstStart: true }).learnt(first, at(100)), 0, 0, 100, -Infinity],
-    ['at another\'s place', Mandate.none(options).learnt(first, at(100)), 1, 0, 200, undefined],
-    ['on knowledge that is too old', Mandate.none(options).learnt(first, at(100)), 0, 5001, 200, undefined],
-    ['in place of another, before that one has stopped', Mandate.none({ ...options, self: successor }).learnt(moved, at(100)), 1, 0, 5349, undefined],
-    ['in place of another, later', Mandate.none({ ...options, self: successor }).learnt(moved, at(100)), 1, 0, 5350, 5350],
-    ['replaced', Mandate.none({ ...options, self: other }).learnt(first, at(100)).learnt(moved, at(200)), 1, 0, 300, undefined],
-    ['given to another and back, of which it heard only now', Mandate.none(options).learnt(first, at(100)).learnt(backAgain, at(20_000)), 0, 0, 20_100, undefined],
-    ['kept through a change elsewhere', Mandate.none(options).learnt(first, at(100)).learnt(moved, at(200)), 0, 0, 300, 40]
+  it.each<[string, IssuerLease, number, number, number, number | undefined]>([
+    ['of nobody', IssuerLease.none(options), 0, 0, 10, undefined],
+    ['at its own place, from its birth', IssuerLease.none(options).withTable(first, at(100)), 0, 0, 100, 40],
+    ['at the first start of all, from ever', IssuerLease.none({ ...options, isFirstStart: true }).withTable(first, at(100)), 0, 0, 100, -Infinity],
+    ['at another\'s place', IssuerLease.none(options).withTable(first, at(100)), 1, 0, 200, undefined],
+    ['on knowledge that is too old', IssuerLease.none(options).withTable(first, at(100)), 0, 5001, 200, undefined],
+    ['in place of another, before that one has stopped', IssuerLease.none({ ...options, self: successor }).withTable(moved, at(100)), 1, 0, 5349, undefined],
+    ['in place of another, later', IssuerLease.none({ ...options, self: successor }).withTable(moved, at(100)), 1, 0, 5350, 5350],
+    ['replaced', IssuerLease.none({ ...options, self: other }).withTable(first, at(100)).withTable(moved, at(200)), 1, 0, 300, undefined],
+    ['given to another and back, of which it heard only now', IssuerLease.none(options).withTable(first, at(100)).withTable(backAgain, at(20_000)), 0, 0, 20_100, undefined],
+    ['kept through a change elsewhere', IssuerLease.none(options).withTable(first, at(100)).withTable(moved, at(200)), 0, 0, 300, 40]
   ])('%s', (_name, mandate, place, ageMs, now, expected) => expect(mandate.issuesSince(place, ageMs, at(now))).toBe(expected))
 })
 
@@ -115,14 +115,14 @@
   const wanted = (count: number, since: number, place = 0) => ({ place, team: 't' as TeamId, count, shard, since: at(since) })
 
   it('gives a bucket once, to whoever asks', () => {
-    const issuer = Issuer.create()
+    const issuer = TokenIssuer.create()
     const counts = [1, 10, 10].map(count => issuer.issue(wanted(count, -Infinity), at(0)).count)
     expect(counts).toEqual([1, 1, 0])
     expect(issuer.issue(wanted(10, -Infinity, 1), at(0)).count).toBe(2)
   })
 
   it('gives the credit of a place to the buckets that it has and to those that come', () => {
-    const issuer = Issuer.create()
+    const issuer = TokenIssuer.create()
     expect(issuer.issue(wanted(10, 0), at(0)).count).toBe(0)
     issuer.credit(0, at(0), at(0))
     expect(issuer.issue(wanted(10, 0), at(0)).count).toBe(1)
@@ -131,15 +131,15 @@
   })
 
   it('begins anew, and empty, when it takes a place again', () => {
-    const issuer = Issuer.create()
+    const issuer = TokenIssuer.create()
     issuer.issue(wanted(1, -Infinity), at(0))
     expect(issuer.issue(wanted(10, 1000), at(1000)).count).toBe(0)
   })
 })
 
 describe('the tokens in hand', () => {
-  const silence = Silence.create()
-  const made = () => Tokens.of([0, 1, 2], silence, 0, at(0))
+  const silence = IssuerBackOff.create()
+  const made = () => TeamTokens.of([0, 1, 2], silence, 0, at(0))
   const got = (count: number, nextMs = 0, askedAt = 0) => ({ count, nextMs, askedAt: at(askedAt), lifetimeMs: 400 })
 
   it('count from the question for them, and no longer', () => {
@@ -159,20 +159,20 @@
     const places = () => [0, 1, 2].map(() => tokens.next(1, 400, at(10))).map(next => next.kind === 'ask' ? next.place : -1)
     expect(places()).toEqual([0, 1, 2])
     tokens.answered(0, got(0, 300), at(10))
-    silence.missed(1, at(10))
+    silence.recordTimeout(1, at(10))
     expect(places()).toEqual([2, 2, 2])
     tokens.answered(2, got(0, 700), at(10))
     expect(tokens.next(1, 400, at(10))).toEqual({ kind: 'none', ms: 100, isSilent: false })
     expect(tokens.next(1, 400, at(111))).toMatchObject({ kind: 'ask', place: 1 })
-    silence.missed(1, at(111))
+    silence.recordTimeout(1, at(111))
     expect(tokens.next(1, 400, at(111))).toEqual({ kind: 'none', ms: 199, isSilent: false })
   })
 
   it('are fetched ahead by what was used lately', () => {
     const tokens = made()
     for (let i = 0; i < 40; i++) tokens.take(at(i * 10))
-    expect(tokens.ahead(400, at(400))).toBeGreaterThanOrEqual(5)
-    expect(tokens.ahead(400, at(5000))).toBe(0)
+    expect(tokens.prefetchCount(400, at(400))).toBeGreaterThanOrEqual(5)
+    expect(tokens.prefetchCount(400, at(5000))).toBe(0)
   })
 
   it('that were put back are used again', () => {
--- a/src/core/allowance/silence.ts
+++ b/src/core/allowance/issuerbackoff.ts
@@ -2,33 +2,33 @@
 
 import type { Instant } from '../id/instant.ts'
 
-interface Silent {
+interface BackOffEntry {
   readonly times: number
   readonly until: Instant
 }
 
 /** A place is asked again after so long, since a question is a datagram and a process that starts is there within a few hundred milliseconds; twice as long after each further silence, */
-const FIRST_MS = 100
+const INITIAL_BACK_OFF_MS = 100
 /** up to this: of hosts behind a cut a few questions a second stay open. */
-const MOST_MS = 1600
+const MAX_BACK_OFF_MS = 1600
 
 /** Changes in place. What one team's question finds out holds for all. */
-export class Silence {
-  private readonly silent = new Map<number, Silent>()
+export class IssuerBackOff {
+  private readonly silent = new Map<number, BackOffEntry>()
 
   private constructor () {}
 
-  static create (): Silence {
-    return new Silence()
+  static create (): IssuerBackOff {
+    return new IssuerBackOff()
   }
 
   answered (place: number): void {
     this.silent.delete(place)
   }
 
-  missed (place: number, now: Instant): void {
+  recordTimeout (place: number, now: Instant): void {
     const times = (this.silent.get(place)?.times ?? 0) + 1
-    this.silent.set(place, { times, until: now + Math.min(MOST_MS, FIRST_MS * 2 ** (times - 1)) as Instant })
+    this.silent.set(place, { times, until: now + Math.min(MAX_BACK_OFF_MS, INITIAL_BACK_OFF_MS * 2 ** (times - 1)) as Instant })
   }
 
   /** Until when the place isn't asked; undefined when it may be. */
--- a/src/core/allowance/mandate.ts
+++ b/src/core/allowance/issuerlease.ts
@@ -2,7 +2,7 @@
 
 import type { HostId } from '../id/host.ts'
 import type { Instant } from '../id/instant.ts'
-import type { Issuers } from './issuers.ts'
+import type { IssuerTable } from './issuertable.ts'
 
 interface Held {
   readonly term: number
@@ -12,15 +12,15 @@
 interface Options {
   readonly self: HostId
   /** A host goes on issuing for so long on what it knows of the row, so one that takes a place waits for as long. Milliseconds. */
-  readonly trustMs: number
+  readonly leaseMs: number
   /** Whether the whole system starts for the first time, so that nobody issued before. */
   readonly isFirstStart: boolean
   /** When this process began, and so whatever this host did before was over. */
-  readonly bornAt: Instant
+  readonly processStartedAt: Instant
 }
 
 /** The clocks of two hosts part by far less than this share in such a time. */
-const DRIFT = 0.05
+const MAX_CLOCK_DRIFT = 0.05
 
 /**
  * Guard against two hosts that issue one shard: one that is cut off goes on, and another takes its place. Nobody issues on knowledge
@@ -31,35 +31,35 @@
  * from there and not from the row is worth about half a second's tokens in the second after a power loss, when callers need them most.
  * Immutable; `now` is of the monotonic clock, which stands still while the host is suspended, so that no wait is cut short.
  */
-export class Mandate {
+export class IssuerLease {
   private constructor (private readonly options: Options, private readonly held: ReadonlyMap<number, Held>) {}
 
-  static none (options: Options): Mandate {
-    return new Mandate(options, new Map())
+  static none (options: Options): IssuerLease {
+    return new IssuerLease(options, new Map())
   }
 
   /** By the row as it's known now. */
-  learnt (issuers: Issuers, now: Instant): Mandate {
-    const { self, trustMs, isFirstStart, bornAt } = this.options
+  withTable (issuers: IssuerTable, now: Instant): IssuerLease {
+    const { self, leaseMs: trustMs, isFirstStart, processStartedAt: bornAt } = this.options
     const own = issuers.places.flatMap(({ host, term }, place): Array<[number, Held]> => {
       if (host !== self) return []
       const held = this.held.get(place)
       // In another term somebody else may have issued since, also when this host heard of that only now.
       if (held?.term === term) return [[place, held]]
       const first = isFirstStart ? -Infinity : bornAt
-      return [[place, { term, since: (term > 0 ? now + trustMs * (1 + DRIFT) : first) as Instant }]]
+      return [[place, { term, since: (term > 0 ? now + trustMs * (1 + MAX_CLOCK_DRIFT) : first) as Instant }]]
     })
-    return new Mandate(this.options, new Map(own))
+    return new IssuerLease(this.options, new Map(own))
   }
 
   /** The places at which this process starts anew, and so with empty buckets. */
-  begun (): readonly number[] {
-    return [...this.held].filter(([, { since }]) => since === this.options.bornAt).map(([place]) => place)
+  restartedPlaces (): readonly number[] {
+    return [...this.held].filter(([, { since }]) => since === this.options.processStartedAt).map(([place]) => place)
   }
 
   /** Since when this host issues at the place; undefined when it may not now. `ageMs`: how old its knowledge of the row may be. */
   issuesSince (place: number, ageMs: number, now: Instant): Instant | undefined {
     const since = this.held.get(place)?.since
-    return since === undefined || now < since || ageMs > this.options.trustMs ? undefined : since
+    return since === undefined || now < since || ageMs > this.options.leaseMs ? undefined : since
   }
 }
--- a/src/core/allowance/issuers.ts
+++ b/src/core/allowance/issuertable.ts
@@ -18,20 +18,20 @@
 const HOSTS_PER_PLACE = 7
 
 /** Immutable. The number of places never changes: with it a team's shards would move to other hosts. */
-export class Issuers {
+export class IssuerTable {
   private constructor (readonly places: readonly Place[]) {}
 
   /** Where nobody issued before. */
-  static first (hosts: readonly HostId[]): Issuers {
+  static initial (hosts: readonly HostId[]): IssuerTable {
     const count = Math.max(Math.min(hosts.length, Shard.most), Math.ceil(hosts.length / HOSTS_PER_PLACE))
     const ranked = byWeight(hosts)
-    return new Issuers(Array.from({ length: count }, (_, i) => ({ host: ranked[i]!, term: 0 })))
+    return new IssuerTable(Array.from({ length: count }, (_, i) => ({ host: ranked[i]!, term: 0 })))
   }
 
   /** Undefined for a row that can't be read. */
-  static decode (text: string): Issuers | undefined {
+  static decode (text: string): IssuerTable | undefined {
     const parsed = shape.safeParse(readJson(text))
-    return parsed.success && parsed.data.length > 0 ? new Issuers(parsed.data) : undefined
+    return parsed.success && parsed.data.length > 0 ? new IssuerTable(parsed.data) : undefined
   }
 
   encode (): string {
@@ -43,10 +43,10 @@
   }
 
   /** With another host in place of one that doesn't answer: the first that issues nowhere yet; undefined when there is none. */
-  without (place: number, hosts: readonly HostId[]): Issuers | undefined {
+  withReplacement (place: number, hosts: readonly HostId[]): IssuerTable | undefined {
     const used = new Set(this.places.map(({ host }) => host))
     const next = byWeight(hosts).find(host => !used.has(host))
-    return next === undefined ? undefined : new Issuers(this.places.map((one, i) => i === place ? { host: next, term: one.term + 1 } : one))
+    return next === undefined ? undefined : new IssuerTable(this.places.map((one, i) => i === place ? { host: next, term: one.term + 1 } : one))
   }
 }
 
--- a/src/core/allowance/bucket.ts
+++ b/src/core/allowance/tokenbucket.ts
@@ -4,29 +4,29 @@
 import type { Shard } from './shard.ts'
 
 /** Immutable. A token stands for one operation. Instants are of the monotonic clock: one that leaps over a suspension would fill the bucket at once. */
-export class Bucket {
+export class TokenBucket {
   private constructor (private readonly shard: Shard, private readonly level: number, private readonly at: Instant) {}
 
   /** Empty at the moment, and filled since. */
-  static since (at: Instant, shard: Shard): Bucket {
-    return new Bucket(shard, 0, at)
+  static since (at: Instant, shard: Shard): TokenBucket {
+    return new TokenBucket(shard, 0, at)
   }
 
   /** With so many tokens more, as far as there is room. */
-  plus (tokens: number, now: Instant): Bucket {
-    return new Bucket(this.shard, Math.min(this.shard.depth, this.levelAt(now) + tokens), now)
+  withTokens (tokens: number, now: Instant): TokenBucket {
+    return new TokenBucket(this.shard, Math.min(this.shard.depth, this.levelAt(now) + tokens), now)
   }
 
   /** Under other limits from now on. What gathered stays, as far as it may. */
-  under (shard: Shard, now: Instant): Bucket {
-    return new Bucket(shard, Math.min(this.levelAt(now), shard.depth), now)
+  withShard (shard: Shard, now: Instant): TokenBucket {
+    return new TokenBucket(shard, Math.min(this.levelAt(now), shard.depth), now)
   }
 
   /** Takes whole tokens, as many as there are and no more than are wanted. */
-  take (wanted: number, now: Instant): { readonly next: Bucket, readonly taken: number } {
+  take (wanted: number, now: Instant): { readonly next: TokenBucket, readonly taken: number } {
     const level = this.levelAt(now)
     const taken = Math.max(0, Math.min(wanted, Math.floor(level)))
-    return { next: new Bucket(this.shard, level - taken, now), taken }
+    return { next: new TokenBucket(this.shard, level - taken, now), taken }
   }
 
   /** Milliseconds until there is a whole token; infinite where none ever comes. */
--- a/src/core/config/change.ts
+++ b/src/core/config/change.ts
@@ -10,7 +10,7 @@
 
 import { err, ok, type Result } from 'neverthrow'
 import type { Json } from '../json.ts'
-import { Entries } from './entries.ts'
+import { NamedEntries } from './namedentries.ts'
 
 type Fields = Readonly<Record<string, Json>>
 
@@ -36,8 +36,8 @@
 }
 
 function merge (before: Json | undefined, change: Json, path: string, problems: string[]): Json {
-  const known = Entries.of(before)
-  const changed = Entries.of(change)
+  const known = NamedEntries.of(before)
+  const changed = NamedEntries.of(change)
   if (changed !== undefined && (known !== undefined || hasRemoval(changed))) return mergeEntries(known, changed, path, problems)
   return isObject(before) && isObject(change) ? mergeFields(before, change, path, problems) : change
 }
@@ -51,7 +51,7 @@
   return Object.fromEntries(after)
 }
 
-function mergeEntries (before: Entries | undefined, change: Entries, path: string, problems: string[]): Json {
+function mergeEntries (before: NamedEntries | undefined, change: NamedEntries, path: string, problems: string[]): Json {
   const after = new Map((before?.names ?? []).map(name => [name, before!.get(name)! as Json]))
   for (const name of change.names) {
     const entry = change.get(name)!
@@ -69,7 +69,7 @@
 /** Undefined when nothing changes. */
 function valueBetween (before: Json | undefined, after: Json): Json | undefined {
   if (before === undefined) return after
-  const [old, next] = [Entries.of(before), Entries.of(after)]
+  const [old, next] = [NamedEntries.of(before), NamedEntries.of(after)]
   if (old !== undefined && next !== undefined && old.key === next.key) return entriesBetween(old, next)
   if (isObject(before) && isObject(after)) return fieldsBetween(before, after)
   return JSON.stringify(before) === JSON.stringify(after) ? undefined : after
@@ -84,7 +84,7 @@
   return changed.length === 0 ? undefined : Object.fromEntries(changed)
 }
 
-function entriesBetween (before: Entries, after: Entries): Json | undefined {
+function entriesBetween (before: NamedEntries, after: NamedEntries): Json | undefined {
   const changed: Json[] = before.names
     .filter(name => after.get(name) === undefined)
     .map(name => ({ [before.key]: name, remove: true }))
@@ -96,7 +96,7 @@
   return changed.length === 0 ? undefined : changed
 }
 
-function hasRemoval (entries: Entries): boolean {
+function hasRemoval (entries: NamedEntries): boolean {
   return entries.names.some(name => entries.get(name)!.remove === true)
 }
 
--- a/src/core/config/config.ts
+++ b/src/core/config/config.ts
@@ -27,7 +27,7 @@
   readonly connectionsPerSlot: number
 }
 
-interface Kind {
+interface ReadKind {
   readonly name: string
   readonly freshness: Freshness
 }
@@ -43,7 +43,7 @@
   readonly groups: readonly GroupId[]
   readonly callers: readonly Caller[]
   /** The kinds of read that callers may name. */
-  readonly kinds: readonly Kind[]
+  readonly kinds: readonly ReadKind[]
   /** What holds for a read that names no kind. */
   readonly freshness: Freshness
 }
--- a/src/core/config/candidate.ts
+++ b/src/core/config/configcandidate.ts
@@ -3,7 +3,7 @@
 import type { ConfigVersion } from '../id/version.ts'
 import type { Json } from '../json.ts'
 
-export interface Candidate {
+export interface ConfigCandidate {
   readonly version: ConfigVersion
   /** 0: `body` is the whole document. Else it's the change that leads from that version to this one. */
   readonly base: ConfigVersion
--- a/src/core/config/holder.test.ts
+++ b/src/core/config/configholder.test.ts
@@ -5,20 +5,20 @@
 import type { Instant } from '../id/instant.ts'
 import type { ConfigVersion } from '../id/version.ts'
 import type { Json } from '../json.ts'
-import type { Candidate } from './candidate.ts'
-import { Holder } from './holder.ts'
-import { pollDelay } from './polling.ts'
-import { Startup } from './startup.ts'
+import type { ConfigCandidate } from './configcandidate.ts'
+import { ConfigHolder } from './configholder.ts'
+import { pollDelayMs } from './polldelay.ts'
+import { ConfigStartup } from './configstartup.ts'
 
 const documentOf = (size: number): Json => ({
   groups: [{ id: 'shop', database: 'shop', endpoints: [{ id: 'shop-1', address: '10.0.0.1:1', dataCentre: 'dc-1' }], connectionsPerSlot: size }],
   pools: []
 })
-const whole = (version: number): Candidate => ({ version: version as ConfigVersion, base: 0 as ConfigVersion, body: documentOf(version + 10) })
+const whole = (version: number): ConfigCandidate => ({ version: version as ConfigVersion, base: 0 as ConfigVersion, body: documentOf(version + 10) })
 
 /** The version in force after each candidate, or why it was refused. */
-function run (...candidates: readonly Candidate[]): string {
-  let holder = Holder.empty
+function run (...candidates: readonly ConfigCandidate[]): string {
+  let holder = ConfigHolder.empty
   return candidates.map(candidate => holder.offer(candidate).match(
     next => {
       holder = next
@@ -28,11 +28,11 @@
 }
 
 describe('the configuration in force', () => {
-  const change = Holder.empty.offer(whole(1)).andThen(one => one.offer(whole(2)))._unsafeUnwrap().candidateFor(1 as ConfigVersion)!
+  const change = ConfigHolder.empty.offer(whole(1)).andThen(one => one.offer(whole(2)))._unsafeUnwrap().candidateFor(1 as ConfigVersion)!
 
   // A host that was cut off or paused offers what it had then. A proxy that took it would route by addresses,
   // callers and kinds that an operator has replaced, on and off, for as long as the two disagree.
-  it.each<[string, readonly Candidate[], string]>([
+  it.each<[string, readonly ConfigCandidate[], string]>([
     ['takes higher versions only', [whole(1), whole(3), whole(2), whole(3), whole(4)], '1 3 old old 4'],
     ['takes a change to what it has', [whole(1), change], '1 2'],
     ['asks for the whole where a change has no base', [change, whole(2)], 'gap 2'],
@@ -44,28 +44,28 @@
 
   it('sends a change to a host that has the version before, and the whole to others', () => {
     expect(change).toMatchObject({ version: 2, base: 1, body: { groups: [{ id: 'shop', connectionsPerSlot: 12 }] } })
-    expect(Holder.empty.offer(whole(2))._unsafeUnwrap().candidateFor(1 as ConfigVersion)).toMatchObject({ version: 2, base: 0 })
+    expect(ConfigHolder.empty.offer(whole(2))._unsafeUnwrap().candidateFor(1 as ConfigVersion)).toMatchObject({ version: 2, base: 0 })
   })
 })
 
 describe('a process that starts', () => {
   const [a, b] = ['a', 'b'] as readonly string[] as readonly [HostId, HostId]
   const at = (ms: number): Instant => ms as Instant
-  const began = Startup.begin(at(0)).storeFailed('down').listed([a, b])
+  const began = ConfigStartup.begin(at(0)).withStoreFailure('down').withPeers([a, b])
   const version = (number: number): ConfigVersion => number as ConfigVersion
 
   // With the store down, the first peer to answer was cut off for an hour and has version 3, while this host
   // ran version 5 before it was replaced. Taken at once, version 3 would be in force again for a moment.
   it('takes the highest version of its peers', () => {
-    expect(began.answered(a, version(3)).mayTake(version(3), at(10))).toBe(false)
+    expect(began.answered(a, version(3)).canTake(version(3), at(10))).toBe(false)
     const all = began.answered(a, version(3)).answered(b, version(5))
-    expect(all.mayTake(version(3), at(10))).toBe(false)
-    expect(all.mayTake(version(5), at(10))).toBe(true)
+    expect(all.canTake(version(3), at(10))).toBe(false)
+    expect(all.canTake(version(5), at(10))).toBe(true)
   })
 
   it('does not wait for dead peers for ever, nor for peers once the store answered', () => {
-    expect(began.answered(a, version(3)).mayTake(version(3), at(2000))).toBe(true)
-    expect(began.storeRead().mayTake(version(3), at(10))).toBe(true)
+    expect(began.answered(a, version(3)).canTake(version(3), at(2000))).toBe(true)
+    expect(began.withStoreRead().canTake(version(3), at(10))).toBe(true)
   })
 
   it('says why it is not ready', () => {
@@ -76,12 +76,12 @@
 
 // The store comes back after an hour. If all 2,000 hosts polled at the pace of a poller they would ask it 4,000
 // times a second, twice what it bears, and bring it down again.
-it.each<[Parameters<typeof pollDelay>[0], number, number]>([
+it.each<[Parameters<typeof pollDelayMs>[0], number, number]>([
   [{ isPoller: true, hasConfig: true, misses: 0 }, 500, 500],
   [{ isPoller: true, hasConfig: true, misses: 100 }, 2000, 2000],
   [{ isPoller: false, hasConfig: true, misses: 0 }, 15_000, 45_000],
   [{ isPoller: false, hasConfig: false, misses: 0 }, 250, 750],
   [{ isPoller: false, hasConfig: false, misses: 9 }, 4000, 12_000]
 ])('a host polls the store at the pace of its part: %j', (situation, least, most) => {
-  expect([pollDelay(situation, 0), pollDelay(situation, 1)]).toEqual([least, most])
+  expect([pollDelayMs(situation, 0), pollDelayMs(situation, 1)]).toEqual([least, most])
 })
--- a/src/core/config/holder.ts
+++ b/src/core/config/configholder.ts
@@ -11,7 +11,7 @@
 import { err, ok, type Result } from 'neverthrow'
 import type { ConfigVersion } from '../id/version.ts'
 import type { Json } from '../json.ts'
-import type { Candidate } from './candidate.ts'
+import type { ConfigCandidate } from './configcandidate.ts'
 import { Change } from './change.ts'
 import type { Config } from './config.ts'
 import { parseConfig } from './document.ts'
@@ -33,10 +33,10 @@
 const NONE = 0 as ConfigVersion
 
 /** Immutable; `offer` yields the next holder. */
-export class Holder {
+export class ConfigHolder {
   private constructor (private readonly held: Held | undefined) {}
 
-  static empty = new Holder(undefined)
+  static empty = new ConfigHolder(undefined)
 
   get config (): Config | undefined {
     return this.held?.config
@@ -51,7 +51,7 @@
     return this.held?.change !== undefined
   }
 
-  offer (candidate: Candidate): Result<Holder, Refusal> {
+  offer (candidate: ConfigCandidate): Result<ConfigHolder, Refusal> {
     if (candidate.version <= this.version) return err({ kind: 'old' })
     if (candidate.base !== NONE && candidate.base !== this.version) return err({ kind: 'gap' })
     const document = candidate.base === NONE ? ok(candidate.body) : Change.of(candidate.body).apply(this.held!.document)
@@ -61,18 +61,18 @@
   }
 
   /** What to send a host that has `base`: the change when it has the version before, else the whole. */
-  candidateFor (base: ConfigVersion): Candidate | undefined {
+  candidateFor (base: ConfigVersion): ConfigCandidate | undefined {
     if (this.held === undefined) return undefined
     const { config: { version }, document, change } = this.held
     if (base === version - 1 && base !== NONE && change !== undefined) return { version, base, body: change }
     return { version, base: NONE, body: document }
   }
 
-  private next (candidate: Candidate, config: Config, document: Json): Holder {
-    return new Holder({ config, document, change: this.changeTo(candidate, document) })
+  private next (candidate: ConfigCandidate, config: Config, document: Json): ConfigHolder {
+    return new ConfigHolder({ config, document, change: this.changeTo(candidate, document) })
   }
 
-  private changeTo ({ version, base, body }: Candidate, document: Json): Json | undefined {
+  private changeTo ({ version, base, body }: ConfigCandidate, document: Json): Json | undefined {
     if (base !== NONE) return body
     const isNext = this.held !== undefined && version === this.version + 1
     return isNext ? Change.between(this.held.document, document).json : undefined
--- a/src/core/config/record.ts
+++ b/src/core/config/configrecord.ts
@@ -19,10 +19,10 @@
 })
 
 /** Immutable, as the row that holds it is created once and never replaced. */
-type Record = Readonly<z.output<typeof shape>>
+type ConfigRecord = Readonly<z.output<typeof shape>>
 
 /** The record in the body of a row; an error when another program wrote the row. */
-export function parseRecord (body: string): Result<Record, string> {
+export function parseConfigRecord (body: string): Result<ConfigRecord, string> {
   const parsed = z.string().transform((text, context) => {
     try {
       return JSON.parse(text) as unknown
--- a/src/core/config/startup.ts
+++ b/src/core/config/configstartup.ts
@@ -14,7 +14,7 @@
 import type { ConfigVersion } from '../id/version.ts'
 
 interface Fields {
-  readonly began: Instant
+  readonly startedAt: Instant
   readonly isStoreRead: boolean
   readonly storeProblem: string
   /** The other hosts of the list, and what each said that it has. */
@@ -22,36 +22,36 @@
   readonly answers: ReadonlyMap<HostId, ConfigVersion>
 }
 
-const GRACE_MS = 1500
+const PEER_GRACE_MS = 1500
 
 /** Immutable; the methods yield the next state. */
-export class Startup {
+export class ConfigStartup {
   private constructor (private readonly fields: Fields) {}
 
-  static begin (now: Instant): Startup {
-    return new Startup({ began: now, isStoreRead: false, storeProblem: 'not asked yet', peers: [], answers: new Map() })
+  static begin (now: Instant): ConfigStartup {
+    return new ConfigStartup({ startedAt: now, isStoreRead: false, storeProblem: 'not asked yet', peers: [], answers: new Map() })
   }
 
-  storeRead (): Startup {
-    return new Startup({ ...this.fields, isStoreRead: true, storeProblem: 'has no configuration; submit the first with "agatepond patch --base 0"' })
+  withStoreRead (): ConfigStartup {
+    return new ConfigStartup({ ...this.fields, isStoreRead: true, storeProblem: 'has no configuration; submit the first with "agatepond patch --base 0"' })
   }
 
-  storeFailed (problem: string): Startup {
-    return new Startup({ ...this.fields, storeProblem: `does not answer (${problem})` })
+  withStoreFailure (problem: string): ConfigStartup {
+    return new ConfigStartup({ ...this.fields, storeProblem: `does not answer (${problem})` })
   }
 
-  listed (peers: readonly HostId[]): Startup {
-    return new Startup({ ...this.fields, peers })
+  withPeers (peers: readonly HostId[]): ConfigStartup {
+    return new ConfigStartup({ ...this.fields, peers })
   }
 
-  answered (host: HostId, version: ConfigVersion): Startup {
-    return new Startup({ ...this.fields, answers: new Map([...this.fields.answers, [host, version]]) })
+  answered (host: HostId, version: ConfigVersion): ConfigStartup {
+    return new ConfigStartup({ ...this.fields, answers: new Map([...this.fields.answers, [host, version]]) })
   }
 
   /** Whether a version that a peer offered may be put in force. */
-  mayTake (version: ConfigVersion, now: Instant): boolean {
-    const { began, isStoreRead, peers, answers } = this.fields
-    if (isStoreRead || now - began >= GRACE_MS) return true
+  canTake (version: ConfigVersion, now: Instant): boolean {
+    const { startedAt: began, isStoreRead, peers, answers } = this.fields
+    if (isStoreRead || now - began >= PEER_GRACE_MS) return true
     const isAnswered = peers.length > 0 && peers.every(host => answers.has(host))
     return isAnswered && [...answers.values()].every(other => other <= version)
   }
--- a/src/core/config/difference.ts
+++ b/src/core/config/difference.ts
@@ -1,7 +1,7 @@
 /** What differs between two configuration documents, for people. */
 
 import type { Json } from '../json.ts'
-import { Entries } from './entries.ts'
+import { NamedEntries } from './namedentries.ts'
 
 interface Line {
   /** Where, by the names of the entries: `groups.shop.connectionsPerSlot`. */
@@ -40,7 +40,7 @@
 
 /** An object's fields or a list's named entries; undefined for what has no parts. */
 function fieldsOf (value: Json | undefined): ReadonlyMap<string, Json> | undefined {
-  const entries = Entries.of(value)
+  const entries = NamedEntries.of(value)
   if (entries !== undefined) return new Map(entries.names.map(name => [name, entries.get(name)!]))
   if (typeof value !== 'object' || value === null || Array.isArray(value)) return undefined
   return new Map(Object.entries(value))
--- a/src/core/config/document.ts
+++ b/src/core/config/document.ts
@@ -4,22 +4,22 @@
 import * as z from 'zod'
 import { parseAddress } from '../settings/address.ts'
 import { parseDuration } from '../settings/duration.ts'
-import { problemsOf } from '../settings/problem.ts'
+import { describeIssues } from '../settings/issues.ts'
 import type { ConfigVersion } from '../id/version.ts'
 import type { Freshness } from '../routing/freshness.ts'
 import type { Config } from './config.ts'
-import { repeated } from './names.ts'
+import { findDuplicate } from './duplicate.ts'
 import { serviceLevels } from './servicelevels.ts'
 
-const LIST_OF_KEYS = '"Patch the configuration" in docs/OPERATIONS.md'
-const MOST_SLOTS = 8
-const MOST_CONNECTIONS = 1000
-const MOST_AGE_MS = 86_400_000
+const KEYS_REFERENCE = '"Patch the configuration" in docs/OPERATIONS.md'
+const MAX_SLOTS = 8
+const MAX_CONNECTIONS = 1000
+const MAX_AGE_MS = 86_400_000
 
 const freshness = z.string().transform((text, context): Freshness => {
   if (text === 'strict' || text === 'session') return { kind: text }
   const age = parseDuration(text).unwrapOr(0)
-  if (age > 0 && age <= MOST_AGE_MS) return { kind: 'age', ms: age }
+  if (age > 0 && age <= MAX_AGE_MS) return { kind: 'age', ms: age }
   context.addIssue({ code: 'custom', message: `"${text}" isn't a freshness; write "strict", "session" or an age up to "1d" such as "5s"` })
   return z.NEVER
 })
@@ -39,8 +39,8 @@
     id: name,
     database: name,
     endpoints: z.array(z.strictObject({ id: name, address, dataCentre: name, leaving: z.boolean().default(false) })).min(1),
-    slotsPerEndpoint: z.int().min(1).max(MOST_SLOTS).default(2),
-    connectionsPerSlot: z.int().min(4).max(MOST_CONNECTIONS).default(16)
+    slotsPerEndpoint: z.int().min(1).max(MAX_SLOTS).default(2),
+    connectionsPerSlot: z.int().min(4).max(MAX_CONNECTIONS).default(16)
   })),
   pools: z.array(z.strictObject({
     id: name,
@@ -57,13 +57,13 @@
 /** The checked configuration, or one line that says where it's wrong and what to write instead. */
 export function parseConfig (version: ConfigVersion, document: unknown): Result<Config, string> {
   const parsed = shape.safeParse(document)
-  if (!parsed.success) return err(problemsOf(parsed.error.issues, document, LIST_OF_KEYS))
-  const problem = strayReference(parsed.data) ?? repeatedName(parsed.data) ?? repeatedInPool(parsed.data)
+  if (!parsed.success) return err(describeIssues(parsed.error.issues, document, KEYS_REFERENCE))
+  const problem = findUnknownReference(parsed.data) ?? findDuplicateName(parsed.data) ?? findDuplicateInPool(parsed.data)
   if (problem !== undefined) return err(problem)
   return ok({ version, ...parsed.data } as unknown as Config)
 }
 
-function strayReference ({ groups, pools, serviceLevels }: Document): string | undefined {
+function findUnknownReference ({ groups, pools, serviceLevels }: Document): string | undefined {
   const known = new Set(groups.map(group => group.id))
   for (const pool of pools) {
     const stray = pool.groups.find(id => !known.has(id))
@@ -75,7 +75,7 @@
 }
 
 /** Ids are unique over the whole document; an endpoint's connections are counted by its address, a caller logs in by its id alone. */
-function repeatedName ({ groups, pools, serviceLevels }: Document): string | undefined {
+function findDuplicateName ({ groups, pools, serviceLevels }: Document): string | undefined {
   const endpoints = groups.flatMap(group => group.endpoints)
   const lists: ReadonlyArray<readonly [string, readonly string[]]> = [
     ['groups', groups.map(group => group.id)],
@@ -86,19 +86,19 @@
     ['serviceLevels', serviceLevels.map(level => level.name)]
   ]
   for (const [kind, names] of lists) {
-    const twice = repeated(names)
+    const twice = findDuplicate(names)
     if (twice !== undefined) return `${kind}: "${twice}" comes twice; rename or remove one`
   }
   return undefined
 }
 
 /** A caller names a database and a kind; each must mean one thing in its pool. */
-function repeatedInPool ({ groups, pools }: Document): string | undefined {
+function findDuplicateInPool ({ groups, pools }: Document): string | undefined {
   const database = new Map(groups.map(group => [group.id, group.database]))
   for (const pool of pools) {
-    const group = repeated(pool.groups.map(id => database.get(id)!))
+    const group = findDuplicate(pool.groups.map(id => database.get(id)!))
     if (group !== undefined) return `pools.${pool.id}.groups: database "${group}" comes twice; leave one of its groups out`
-    const kind = repeated(pool.kinds.map(one => one.name))
+    const kind = findDuplicate(pool.kinds.map(one => one.name))
     if (kind !== undefined) return `pools.${pool.id}.kinds: "${kind}" comes twice; rename or remove one`
   }
   return undefined
--- a/src/core/config/entries.ts
+++ b/src/core/config/namedentries.ts
@@ -8,7 +8,7 @@
 const KEYS = ['id', 'name'] as const
 
 /** A list of objects under their ids (or names), in order. */
-export class Entries {
+export class NamedEntries {
   private constructor (
     /** The property that names an entry. */
     readonly key: string,
@@ -16,13 +16,13 @@
   ) {}
 
   /** Undefined when the value isn't a list of named objects, or two entries share a name. */
-  static of (value: Json | undefined): Entries | undefined {
+  static of (value: Json | undefined): NamedEntries | undefined {
     if (!Array.isArray(value) || value.length === 0) return undefined
     const list = value as readonly Json[]
     const key = KEYS.find(one => list.every(entry => typeof nameOf(entry, one) === 'string'))
     if (key === undefined) return undefined
     const entries = new Map(list.map(entry => [nameOf(entry, key) as string, entry as Entry]))
-    return entries.size === list.length ? new Entries(key, entries) : undefined
+    return entries.size === list.length ? new NamedEntries(key, entries) : undefined
   }
 
   get names (): readonly string[] {
--- a/src/core/config/polling.ts
+++ b/src/core/config/polldelay.ts
@@ -7,9 +7,9 @@
  */
 
 const POLLER_MS = 500
-const MOST_POLLER_MS = 2000
+const MAX_POLLER_MS = 2000
 const OTHER_MS = 30_000
-const MOST_WAITING_MS = 8000
+const MAX_WITHOUT_CONFIG_MS = 8000
 
 interface Situation {
   readonly isPoller: boolean
@@ -19,9 +19,9 @@
 }
 
 /** Milliseconds until the next poll; `chance` is a number in [0, 1). */
-export function pollDelay ({ isPoller, hasConfig, misses }: Situation, chance: number): number {
+export function pollDelayMs ({ isPoller, hasConfig, misses }: Situation, chance: number): number {
   const doubled = POLLER_MS * 2 ** Math.min(misses, 10)
-  if (isPoller) return Math.min(doubled, MOST_POLLER_MS)
-  const longest = hasConfig ? OTHER_MS : Math.min(doubled, MOST_WAITING_MS)
+  if (isPoller) return Math.min(doubled, MAX_POLLER_MS)
+  const longest = hasConfig ? OTHER_MS : Math.min(doubled, MAX_WITHOUT_CONFIG_MS)
   return longest * (0.5 + chance)
 }
--- a/src/core/pool/load/placeline.ts
+++ b/src/core/pool/load/placeline.ts
@@ -67,14 +67,14 @@
   * inTurn (now: Instant): Generator<readonly [PlaceOrder, number]> {
     let before = 0
     for (const kind of KINDS) {
-      for (const [{ id }, ahead] of this.queues[kind].inTurn(now)) yield [this.waiting.get(id)!.order, before + ahead]
+      for (const [{ id }, ahead] of this.queues[kind].inServingOrder(now)) yield [this.waiting.get(id)!.order, before + ahead]
       before += this.queues[kind].size
     }
   }
 
   /** How many of its class go first if the order joins. */
   aheadOf ({ what, caller }: PlaceOrder, now: Instant): number {
-    const own = this.queues[what].ahead(caller, now)
+    const own = this.queues[what].countAhead(caller, now)
     return what === 'next' ? own : own + this.queues.next.size
   }
 
@@ -84,7 +84,7 @@
   }
 
   tidy (): void {
-    for (const kind of KINDS) this.queues[kind].tidy()
+    for (const kind of KINDS) this.queues[kind].removeIdleCallers()
   }
 }
 
--- a/src/core/pool/reads/progress.ts
+++ b/src/core/pool/reads/progress.ts
@@ -1,7 +1,7 @@
 /** How far a group's log is known to reach, and which position a read must find. */
 
 import type { Instant } from '../../id/instant.ts'
-import { Marks } from '../../routing/marks.ts'
+import { Watermarks } from '../../routing/watermarks.ts'
 import { Token } from '../../token.ts'
 import { AgeClock } from './ageclock.ts'
 
@@ -15,14 +15,14 @@
  * waited for in vain.
  */
 export class Progress {
-  private constructor (private readonly marks: Marks, private readonly newest: Token) {}
+  private constructor (private readonly marks: Watermarks, private readonly newest: Token) {}
 
-  static readonly empty = new Progress(Marks.empty, Token.zero)
+  static readonly empty = new Progress(Watermarks.empty, Token.zero)
 
   /** Takes in a position that an endpoint answered, while it led, to something sent at the instant. */
   with (position: Token, sentAt: Instant): Progress {
     if (position.term < this.newest.term) return this
-    const marks = position.term > this.newest.term ? Marks.empty : this.marks
+    const marks = position.term > this.newest.term ? Watermarks.empty : this.marks
     return new Progress(marks.with(position, sentAt), position.max(this.newest))
   }
 
--- a/src/core/pool/statements/work.ts
+++ b/src/core/pool/statements/work.ts
@@ -1,6 +1,6 @@
 /** A caller's statement as it's sent to an endpoint. */
 
-import type { Values } from '../../session/values.ts'
+import type { SessionState } from '../../session/sessionstate.ts'
 import type { Command } from '../../statement/command.ts'
 import type { Statement } from '../../statement/statement.ts'
 import { preparedName } from '../../statement/preparedname.ts'
@@ -19,7 +19,7 @@
   private constructor (private readonly fields: Fields) {}
 
   /** Undefined for a statement that endpoints don't get, and for one whose name isn't prepared. */
-  static of (id: string, statement: Statement, values: Values): Work | undefined {
+  static of (id: string, statement: Statement, values: SessionState): Work | undefined {
     const { kind } = statement
     if (kind === 'read' || kind === 'write' || kind === 'commit') return new Work({ id, statement, what: kind, preparation: undefined })
     if (kind !== 'execute') return undefined
@@ -38,7 +38,7 @@
   }
 
   /** Own commands that have to go before it on a connection in the state. */
-  preludeOn (connection: Values, session: Values): readonly Command[] {
+  preludeOn (connection: SessionState, session: SessionState): readonly Command[] {
     const commands = connection.commandsTo(session)
     const { preparation } = this.fields
     if (preparation === undefined) return commands
--- a/src/core/pool/succession/handover.ts
+++ b/src/core/pool/succession/handover.ts
@@ -1,7 +1,7 @@
 /** The order by which a primary that leaves hands its group over, and when a commit of it is safe. */
 
 import type { EndpointId } from '../../id/endpoint.ts'
-import type { EndpointStatus } from '../../statement/status.ts'
+import type { EndpointStatus } from '../../statement/endpointstatus.ts'
 import type { Token } from '../../token.ts'
 
 interface Fields {
--- a/src/core/pool/succession/succession.test.ts
+++ b/src/core/pool/succession/succession.test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, it } from 'vitest'
 import type { EndpointId } from '../../id/endpoint.ts'
 import type { Instant } from '../../id/instant.ts'
-import type { EndpointStatus } from '../../statement/status.ts'
+import type { EndpointStatus } from '../../statement/endpointstatus.ts'
 import { Token } from '../../token.ts'
 import { Succession } from './succession.ts'
 import type { SuccessionAction } from './successionaction.ts'
--- a/src/core/pool/succession/succession.ts
+++ b/src/core/pool/succession/succession.ts
@@ -11,7 +11,7 @@
 
 import type { EndpointId } from '../../id/endpoint.ts'
 import type { Instant } from '../../id/instant.ts'
-import type { EndpointStatus } from '../../statement/status.ts'
+import type { EndpointStatus } from '../../statement/endpointstatus.ts'
 import { pace } from './pace.ts'
 import type { SuccessionAction } from './successionaction.ts'
 import type { SuccessionEvent } from './successionevent.ts'
--- a/src/core/pool/succession/successionevent.ts
+++ b/src/core/pool/succession/successionevent.ts
@@ -1,7 +1,7 @@
 /** What can happen to the succession of a group. */
 
 import type { EndpointId } from '../../id/endpoint.ts'
-import type { EndpointStatus } from '../../statement/status.ts'
+import type { EndpointStatus } from '../../statement/endpointstatus.ts'
 
 export type SuccessionEvent =
   | { readonly kind: 'tick' }
--- a/src/core/request/attempts.test.ts
+++ b/src/core/request/attempts.test.ts
@@ -7,17 +7,17 @@
 import type { Outcome } from '../outcome.ts'
 import { reasons } from '../reason.ts'
 import type { ReasonName } from '../reasonname.ts'
-import { alwaysRetry } from './always.ts'
+import { alwaysRetry } from './alwaysretry.ts'
 import { Attempts } from './attempts.ts'
 import type { AttemptsAction } from './attemptsaction.ts'
 import type { AttemptsEvent } from './attemptsevent.ts'
-import type { RequestSpec } from './spec.ts'
+import type { RequestSpec } from './requestspec.ts'
 
 const SEED = 20_261
 const DEADLINE = 1000 as Instant
 const endpoint = 'shop-1' as EndpointId
 const spec = (change: Partial<RequestSpec> = {}): RequestSpec => ({
-  isRead: false, isOnce: false, place: 'alone', commitsItself: false, waitsForPrimary: false, deadline: DEADLINE, ...change
+  isRead: false, hasIdempotencyKey: false, place: 'alone', mayCommitImplicitly: false, waitsForPrimary: false, deadline: DEADLINE, ...change
 })
 const answered = (outcome: Outcome, reason?: ReasonName, attempt = 1): AttemptsEvent => ({ kind: 'answered', attempt, outcome, reason })
 const routed: AttemptsEvent = { kind: 'routed', endpoint }
@@ -41,9 +41,9 @@
     ['a write whose answer was lost is never tried again', 'answer', spec({ waitsForPrimary: true }), [routed, answered('unknown', 'lost')]],
     ['a read whose answer was lost is', 'wait', spec({ isRead: true }), [routed, answered('unknown', 'lost')]],
     ['but not once rows were passed on', 'answer', spec({ isRead: true }), [routed, { kind: 'rows', attempt: 1 }, answered('unknown', 'lost')]],
-    ['a request with a key is tried again under it', 'wait', spec({ isOnce: true }), [routed, answered('unknown', 'lost')]],
+    ['a request with a key is tried again under it', 'wait', spec({ hasIdempotencyKey: true }), [routed, answered('unknown', 'lost')]],
     ['a statement of a lost transaction', 'refuse lostTransaction', spec({ place: 'inside' }), [routed, answered('unknown', 'lost')]],
-    ['a procedure of a lost transaction', 'answer', spec({ place: 'inside', commitsItself: true }), [routed, answered('unknown', 'lost')]],
+    ['a procedure of a lost transaction', 'answer', spec({ place: 'inside', mayCommitImplicitly: true }), [routed, answered('unknown', 'lost')]],
     ['a lost COMMIT is unknown', 'answer', spec({ place: 'commit' }), [routed, answered('unknown', 'lost')]],
     ['a statement of a transaction is never tried again', 'answer', spec({ place: 'inside', waitsForPrimary: true }), [routed, answered('notRun', 'noSlotOwner')]],
     ['a caller that left takes its attempt with it', 'cancel, refuse lost', spec(), [routed, { kind: 'left' }]],
@@ -59,7 +59,7 @@
   })
 
   it('asks the budget before each retry', () => {
-    const spent = Attempts.create(spec({ isRead: true }), { mayRetry: () => false })
+    const spent = Attempts.create(spec({ isRead: true }), { tryTakeRetry: () => false })
     const sent = spent.step({ kind: 'start' }, 0 as Instant).attempts.step(routed, 0 as Instant).attempts
     expect(sent.step(answered('notRun', 'unreachable'), 0 as Instant).actions[0]?.kind).toBe('answer')
   })
@@ -78,9 +78,9 @@
 
 const specs = fc.record({
   isRead: fc.boolean(),
-  isOnce: fc.boolean(),
+  hasIdempotencyKey: fc.boolean(),
   place: fc.constantFrom('alone', 'begin', 'inside', 'commit'),
-  commitsItself: fc.constant(false),
+  mayCommitImplicitly: fc.constant(false),
   waitsForPrimary: fc.boolean(),
   deadline: fc.constant(DEADLINE)
 }) satisfies fc.Arbitrary<RequestSpec>
@@ -153,7 +153,7 @@
   }
 
   private take (action: AttemptsAction, ran: number): void {
-    const { isRead, isOnce, place } = this.of
+    const { isRead, hasIdempotencyKey: isOnce, place } = this.of
     if (action.kind === 'send' && ran > 0 && !isRead && !isOnce) this.problems.push('a write that may have run was sent again')
     if (action.kind === 'send' && this.now >= DEADLINE) this.problems.push('sent after the deadline')
     if (action.kind === 'send' && place !== 'alone' && place !== 'begin' && action.attempt > 1) this.problems.push('a statement of a transaction was sent again')
--- a/src/core/request/attempts.ts
+++ b/src/core/request/attempts.ts
@@ -13,9 +13,9 @@
 import { reasons } from '../reason.ts'
 import type { AttemptsAction } from './attemptsaction.ts'
 import type { AttemptsEvent } from './attemptsevent.ts'
-import type { RetryBudget } from './budget.ts'
+import type { RetryBudget } from './retrybudget.ts'
 import { recoveryOf } from './recovery.ts'
-import type { RequestSpec } from './spec.ts'
+import type { RequestSpec } from './requestspec.ts'
 
 type Phase = 'new' | 'routing' | 'sent' | 'waiting' | 'over'
 type Answered = Extract<AttemptsEvent, { kind: 'answered' }>
@@ -28,7 +28,7 @@
   readonly attempt: number
   readonly retries: number
   readonly endpoint: EndpointId | undefined
-  readonly avoid: readonly EndpointId[]
+  readonly avoidedEndpoints: readonly EndpointId[]
   readonly hasRows: boolean
   /** An earlier attempt may have run. */
   readonly mayHaveRun: boolean
@@ -42,14 +42,14 @@
 }
 
 /** How long a request waits for news before it is routed again. */
-const RETRY_MS = 20
+const RETRY_DELAY_MS = 20
 /** A slot owner knows more than the frontend (nothing was sent, say), so its answer at the deadline is given this time to arrive. */
-const GRACE_MS = 250
+const ANSWER_GRACE_MS = 250
 /** Retries elsewhere of a write that isn't urgent; each may find another slot owner. */
-const MOST_ELSEWHERE = 3
+const MAX_RETRIES_ELSEWHERE = 3
 /** When to come back: a promotion takes about this long. */
-const PROMOTION_MS = 1000
-const SOON_MS = 100
+const RETRY_AFTER_FAILOVER_MS = 1000
+const DEFAULT_RETRY_AFTER_MS = 100
 
 /** The state of one request. Immutable; `step` takes an event in and yields the next state. */
 export class Attempts {
@@ -57,7 +57,7 @@
 
   static create (spec: RequestSpec, budget: RetryBudget): Attempts {
     return new Attempts({
-      spec, budget, phase: 'new', attempt: 0, retries: 0, endpoint: undefined, avoid: [], hasRows: false, mayHaveRun: false, reason: 'notSent'
+      spec, budget, phase: 'new', attempt: 0, retries: 0, endpoint: undefined, avoidedEndpoints: [], hasRows: false, mayHaveRun: false, reason: 'notSent'
     })
   }
 
@@ -66,9 +66,9 @@
   }
 
   /** When the next `tick` is due at the latest. */
-  get wakeAt (): Instant {
+  get tickDueAt (): Instant {
     const { phase, spec } = this.fields
-    return spec.deadline + (phase === 'sent' ? GRACE_MS : 0) as Instant
+    return spec.deadline + (phase === 'sent' ? ANSWER_GRACE_MS : 0) as Instant
   }
 
   step (event: AttemptsEvent, now: Instant): Step {
@@ -81,8 +81,8 @@
       case 'rows': return this.isCurrent(event.attempt) ? this.with({ hasRows: true }).idle : this.idle
       case 'answered': return this.isCurrent(event.attempt) ? this.answered(event, now) : this.idle
       case 'resumed': return phase === 'waiting' ? this.route(now) : this.idle
-      case 'tick': return now >= this.wakeAt ? this.expire() : this.idle
-      case 'left': return this.leave()
+      case 'tick': return now >= this.tickDueAt ? this.expire() : this.idle
+      case 'left': return this.abandon()
     }
   }
 
@@ -92,7 +92,7 @@
   }
 
   private route (now: Instant): Step {
-    const { avoid } = this.fields
+    const { avoidedEndpoints: avoid } = this.fields
     return this.to({ phase: 'routing' }, { kind: 'route', ms: this.left(now), avoid })
   }
 
@@ -108,7 +108,7 @@
       case 'done': return this.end({ kind: 'answer', retryAfterMs: 0 })
       case 'failed': return this.fields.mayHaveRun ? this.refuse('lost') : this.end({ kind: 'answer', retryAfterMs: 0 })
       case 'notRun': return this.refused(reason, now, true)
-      case 'unknown': return this.unknown(reason ?? 'lost', now)
+      case 'unknown': return this.handleUnknownOutcome(reason ?? 'lost', now)
     }
   }
 
@@ -120,29 +120,29 @@
     const { spec, hasRows } = this.fields
     const next = this.with({ reason: reason ?? 'notSent' })
     const isAlone = spec.place === 'alone' || spec.place === 'begin'
-    if (isAlone && !hasRows && next.mayHelp(reason) && next.mayRetry(now, wasSent && next.costs(reason))) return next.retry()
+    if (isAlone && !hasRows && next.canRetryHelp(reason) && next.canRetry(now, wasSent && next.usesBudget(reason))) return next.retry()
     // A key that is settled as not run excludes the earlier attempts as well.
     if (this.fields.mayHaveRun && reason !== 'voided') return next.refuse('lost')
-    const retryAfterMs = comeBack(reason)
+    const retryAfterMs = retryAfterFor(reason)
     return next.end(wasSent || reason === undefined ? { kind: 'answer', retryAfterMs } : { kind: 'refuse', reason, retryAfterMs })
   }
 
-  private mayHelp (reason: ReasonName | undefined): boolean {
+  private canRetryHelp (reason: ReasonName | undefined): boolean {
     const { spec, retries } = this.fields
     const recovery = recoveryOf(reason)
     if (recovery === 'never') return false
     if (recovery === 'firstSample') return true
     if (spec.waitsForPrimary) return true
-    return recovery === 'elsewhere' && (spec.isRead || retries < MOST_ELSEWHERE)
+    return recovery === 'elsewhere' && (spec.isRead || retries < MAX_RETRIES_ELSEWHERE)
   }
 
   /** The attempt may have run. It is tried again only where a second run does no harm and no part of a result was passed on. */
-  private unknown (reason: ReasonName, now: Instant): Step {
+  private handleUnknownOutcome (reason: ReasonName, now: Instant): Step {
     const { spec, hasRows } = this.fields
     if (this.isRolledBack) return this.refuse('lostTransaction')
     const next = this.with({ mayHaveRun: true, reason })
-    const isRepeatable = (spec.isRead || spec.isOnce) && spec.place === 'alone' && !hasRows
-    if (isRepeatable && next.mayHelp(reason) && next.mayRetry(now, true)) return next.retry()
+    const isRepeatable = (spec.isRead || spec.hasIdempotencyKey) && spec.place === 'alone' && !hasRows
+    if (isRepeatable && next.canRetryHelp(reason) && next.canRetry(now, true)) return next.retry()
     return next.end({ kind: 'answer', retryAfterMs: 0 })
   }
 
@@ -153,7 +153,7 @@
    */
   private get isRolledBack (): boolean {
     const { spec } = this.fields
-    return (spec.place === 'inside' || spec.place === 'begin') && !spec.commitsItself
+    return (spec.place === 'inside' || spec.place === 'begin') && !spec.mayCommitImplicitly
   }
 
   /**
@@ -161,19 +161,19 @@
    * promotion doesn't, nor does asking a slot that can't reach the dead primary yet:
    * urgent writes would else use the budget up before the failover has begun.
    */
-  private costs (reason: ReasonName | undefined): boolean {
+  private usesBudget (reason: ReasonName | undefined): boolean {
     return recoveryOf(reason) === 'elsewhere' && !this.fields.spec.waitsForPrimary
   }
 
-  private mayRetry (now: Instant, costs: boolean): boolean {
+  private canRetry (now: Instant, costs: boolean): boolean {
     const { spec, budget } = this.fields
-    return now + RETRY_MS < spec.deadline && (!costs || budget.mayRetry(now))
+    return now + RETRY_DELAY_MS < spec.deadline && (!costs || budget.tryTakeRetry(now))
   }
 
   private retry (): Step {
-    const { avoid, endpoint, retries } = this.fields
+    const { avoidedEndpoints: avoid, endpoint, retries } = this.fields
     const avoided = endpoint === undefined || avoid.includes(endpoint) ? avoid : [...avoid, endpoint]
-    return this.to({ phase: 'waiting', avoid: avoided, retries: retries + 1 }, { kind: 'wait', ms: RETRY_MS })
+    return this.to({ phase: 'waiting', avoidedEndpoints: avoided, retries: retries + 1 }, { kind: 'wait', ms: RETRY_DELAY_MS })
   }
 
   private expire (): Step {
@@ -183,7 +183,7 @@
     return { attempts: ended.attempts, actions: [{ kind: 'cancel', attempt }, ...ended.actions] }
   }
 
-  private leave (): Step {
+  private abandon (): Step {
     const { phase, attempt, mayHaveRun } = this.fields
     if (phase !== 'sent') return this.refuse(mayHaveRun ? 'lost' : 'notSent')
     const ended = this.refuse(this.isRolledBack ? 'lostTransaction' : 'lost')
@@ -191,7 +191,7 @@
   }
 
   private refuse (reason: ReasonName): Step {
-    return this.end({ kind: 'refuse', reason, retryAfterMs: reasons[reason].provesNotRun ? comeBack(reason) : 0 })
+    return this.end({ kind: 'refuse', reason, retryAfterMs: reasons[reason].provesNotRun ? retryAfterFor(reason) : 0 })
   }
 
   private end (action: AttemptsAction): Step {
@@ -215,6 +215,6 @@
   }
 }
 
-function comeBack (reason: ReasonName | undefined): number {
-  return recoveryOf(reason) === 'newPrimary' ? PROMOTION_MS : SOON_MS
+function retryAfterFor (reason: ReasonName | undefined): number {
+  return recoveryOf(reason) === 'newPrimary' ? RETRY_AFTER_FAILOVER_MS : DEFAULT_RETRY_AFTER_MS
 }
--- a/src/core/request/ledgerscript.ts
+++ b/src/core/request/idempotentscript.ts
@@ -21,32 +21,32 @@
 type Answered = Extract<RunEvent, { kind: 'answered' }>
 type Found = Extract<RunEvent, { kind: 'found' }>
 type Refused = Extract<RunEvent, { kind: 'refused' }>
-type Last = Extract<RunNext<RunScript>, { kind: 'end' }>['last']
+type FinalAction = Extract<RunNext<RunScript>, { kind: 'end' }>['last']
 
 interface Fields {
   readonly spec: RunSpec
   /** The counts of the statement, of this try or of the first. */
   readonly counts: Counts
   /** What comes after the rollback that is under way. */
-  readonly next: 'create' | 'lookup' | Last
+  readonly next: 'create' | 'lookup' | FinalAction
   /** The endpoint's error that made a look into the ledger necessary. */
   readonly refusal: Refused | undefined
   /** The ledger may hold an earlier try: that this one had no effect says nothing of it. */
   readonly isDuplicate: boolean
   readonly isVoid: boolean
-  readonly hasCreated: boolean
+  readonly hasCreatedLedger: boolean
 }
 
-const NONE: Counts = { affected: 0, insertId: 0 }
+const NO_COUNTS: Counts = { affected: 0, insertId: 0 }
 /** Steps after which the transaction must be open still. */
-const INSIDE: ReadonlySet<RunStep> = new Set(['begin', 'claim', 'statement', 'record'])
+const STEPS_IN_TRANSACTION: ReadonlySet<RunStep> = new Set(['begin', 'claim', 'statement', 'record'])
 
-export class LedgerScript implements RunScript {
+export class IdempotentScript implements RunScript {
   private constructor (private readonly fields: Fields) {}
 
-  static of (spec: RunSpec): LedgerScript {
-    return new LedgerScript({
-      spec, counts: NONE, next: 'lookup', refusal: undefined, isDuplicate: false, isVoid: false, hasCreated: false
+  static of (spec: RunSpec): IdempotentScript {
+    return new IdempotentScript({
+      spec, counts: NO_COUNTS, next: 'lookup', refusal: undefined, isDuplicate: false, isVoid: false, hasCreatedLedger: false
     })
   }
 
@@ -61,18 +61,18 @@
   answered (step: RunStep, event: Answered): RunNext<RunScript> {
     const { access } = this.fields.spec
     // Outside of a transaction the key and the effect would be kept apart.
-    if (INSIDE.has(step) && !event.isOpen) return close(refuse(step === 'begin' ? 'rolledBack' : 'endedTransaction'))
+    if (STEPS_IN_TRANSACTION.has(step) && !event.isOpen) return endAndClose(refuse(step === 'begin' ? 'rolledBack' : 'endedTransaction'))
     switch (step) {
       case 'begin': return this.send('claim')
-      case 'claim': return access === 'begin' ? this.began : this.send('statement')
-      case 'statement': return access === 'begin' ? this.send('claim') : this.ran(event)
+      case 'claim': return access === 'begin' ? this.transactionBegun : this.send('statement')
+      case 'statement': return access === 'begin' ? this.send('claim') : this.afterStatement(event)
       case 'record': return this.send('commit')
       case 'commit':
-      case 'touch': return this.written(event, this.ending(event.token))
-      case 'void': return this.written(event, refuse('voided'))
-      case 'rollback': return this.rolledBack(event.isOpen)
-      case 'create': return this.with({ hasCreated: true }).first()
-      case 'lookup': return close(refuse('lost'))
+      case 'touch': return this.endAfterConfirmation(event, this.ending(event.token))
+      case 'void': return this.endAfterConfirmation(event, refuse('voided'))
+      case 'rollback': return this.afterRollback(event.isOpen)
+      case 'create': return this.with({ hasCreatedLedger: true }).first()
+      case 'lookup': return endAndClose(refuse('lost'))
     }
   }
 
@@ -86,33 +86,33 @@
 
   refused (step: RunStep, event: Refused): RunNext<RunScript> {
     const kind = errorKind(event.code, event.message)
-    if (step === 'rollback') return this.rolledBack(true)
-    if (step === 'lookup' || step === 'touch') return close(refuse('lost', event.message))
-    if (kind === 'unclear') return close(refuse(this.broken(step, 'lost'), event.message))
-    if (kind === 'readOnly') return close(refuse('replaced'))
+    if (step === 'rollback') return this.afterRollback(true)
+    if (step === 'lookup' || step === 'touch') return endAndClose(refuse('lost', event.message))
+    if (kind === 'unclear') return endAndClose(refuse(this.lossReason(step, 'lost'), event.message))
+    if (kind === 'readOnly') return endAndClose(refuse('replaced'))
     if (kind === 'duplicate') return this.with({ refusal: event, isDuplicate: true }).rollBack('lookup')
-    const isMissing = kind === 'noTable' && (step === 'claim' || step === 'void') && !this.fields.hasCreated
+    const isMissing = kind === 'noTable' && (step === 'claim' || step === 'void') && !this.fields.hasCreatedLedger
     if (isMissing) return this.rollBack('create')
     return this.rollBack({ kind: 'failed', code: event.code, message: event.message })
   }
 
   /** While COMMIT was never sent, all that the endpoint can do about a closed connection is to roll back. */
-  broken (step: RunStep, reason: 'lost' | 'deadline'): ReasonName {
+  lossReason (step: RunStep, reason: 'lost' | 'deadline'): ReasonName {
     const { isDuplicate, spec } = this.fields
     if (step === 'commit' || step === 'void' || isDuplicate) return reason
     return spec.access === 'begin' ? 'lostTransaction' : 'rolledBack'
   }
 
-  private get began (): RunNext<RunScript> {
-    return { kind: 'end', back: { kind: 'keep' }, last: { kind: 'done', counts: NONE, token: undefined, isOpen: true } }
+  private get transactionBegun (): RunNext<RunScript> {
+    return { kind: 'end', back: { kind: 'keep' }, last: { kind: 'done', counts: NO_COUNTS, token: undefined, isOpen: true } }
   }
 
-  private ran (event: Answered): RunNext<RunScript> {
+  private afterStatement (event: Answered): RunNext<RunScript> {
     if (event.hasRows) return this.rollBack(refuse('onceRows'))
     return this.with({ counts: event.counts }).send('record')
   }
 
-  private ending (token: Token | undefined): Last {
+  private ending (token: Token | undefined): FinalAction {
     const { counts, isVoid, isDuplicate, spec } = this.fields
     if (isVoid) return refuse('voided')
     if (spec.access !== 'begin') return { kind: 'done', counts, token, isOpen: false, ...isDuplicate ? { isReplay: true } : {} }
@@ -121,8 +121,8 @@
   }
 
   /** A write to the ledger without a position can't be confirmed, so nothing is said of it. */
-  private written (event: Answered, last: Last): RunNext<RunScript> {
-    if (event.token === undefined) return close(refuse('unconfirmed', 'the endpoint told no position'))
+  private endAfterConfirmation (event: Answered, last: FinalAction): RunNext<RunScript> {
+    if (event.token === undefined) return endAndClose(refuse('unconfirmed', 'the endpoint told no position'))
     return { kind: 'confirm', back: { kind: 'giveBack', how: event.isOpen ? 'close' : 'clean' }, token: event.token, last }
   }
 
@@ -130,10 +130,10 @@
     return this.with({ next }).send('rollback')
   }
 
-  private rolledBack (isOpen: boolean): RunNext<RunScript> {
+  private afterRollback (isOpen: boolean): RunNext<RunScript> {
     const { next, isDuplicate } = this.fields
     if (typeof next === 'object') return { kind: 'end', back: { kind: 'giveBack', how: isOpen ? 'close' : 'clean' }, last: next }
-    if (isOpen) return close(refuse(isDuplicate ? 'lost' : 'rolledBack'))
+    if (isOpen) return endAndClose(refuse(isDuplicate ? 'lost' : 'rolledBack'))
     return this.send(next)
   }
 
@@ -141,15 +141,15 @@
     return { kind: 'send', script: this, step, counts: this.fields.counts }
   }
 
-  private with (change: Partial<Fields>): LedgerScript {
-    return new LedgerScript({ ...this.fields, ...change })
+  private with (change: Partial<Fields>): IdempotentScript {
+    return new IdempotentScript({ ...this.fields, ...change })
   }
 }
 
-function close (last: Last): RunNext<RunScript> {
+function endAndClose (last: FinalAction): RunNext<RunScript> {
   return { kind: 'end', back: { kind: 'giveBack', how: 'close' }, last }
 }
 
-function refuse (reason: ReasonName, detail = ''): Last {
+function refuse (reason: ReasonName, detail = ''): FinalAction {
   return { kind: 'refuse', reason, detail }
 }
--- a/src/core/request/implicitcommit.ts
+++ b/src/core/request/implicitcommit.ts
@@ -1,9 +1,9 @@
 /** Statements that commit by themselves, as MySQL's manual lists them. */
 
-import { skipBlank } from '../routing/blank.ts'
+import { skipLeadingTrivia } from '../routing/trivia.ts'
 
-const ALWAYS = /^(?:create(?!\s+temporary)|alter|drop(?!\s+temporary)|truncate|rename|grant|revoke|lock|unlock|analyze|optimize|repair|check|flush|reset|install|uninstall|load|begin|start|xa|set\s+password)\b/i
-const MAY = /^(?:call|prepare|execute)\b/i
+const ALWAYS_COMMITS = /^(?:create(?!\s+temporary)|alter|drop(?!\s+temporary)|truncate|rename|grant|revoke|lock|unlock|analyze|optimize|repair|check|flush|reset|install|uninstall|load|begin|start|xa|set\s+password)\b/i
+const MAY_COMMIT = /^(?:call|prepare|execute)\b/i
 
 /**
  * - `always`: inside of a transaction it would commit what came before.
@@ -11,7 +11,7 @@
  * - `never`: any other.
  */
 export function implicitCommit (sql: string): 'always' | 'may' | 'never' {
-  const body = skipBlank(sql)
-  if (ALWAYS.test(body)) return 'always'
-  return MAY.test(body) ? 'may' : 'never'
+  const body = skipLeadingTrivia(sql)
+  if (ALWAYS_COMMITS.test(body)) return 'always'
+  return MAY_COMMIT.test(body) ? 'may' : 'never'
 }
--- a/src/core/request/plainscript.ts
+++ b/src/core/request/plainscript.ts
@@ -12,9 +12,9 @@
 
 type Answered = Extract<RunEvent, { kind: 'answered' }>
 type Refused = Extract<RunEvent, { kind: 'refused' }>
-type Last = Extract<RunNext<RunScript>, { kind: 'end' }>['last']
+type FinalAction = Extract<RunNext<RunScript>, { kind: 'end' }>['last']
 
-const NONE: Counts = { affected: 0, insertId: 0 }
+const NO_COUNTS: Counts = { affected: 0, insertId: 0 }
 
 export class PlainScript implements RunScript {
   private constructor (private readonly spec: RunSpec) {}
@@ -24,47 +24,47 @@
   }
 
   first (): RunNext<RunScript> {
-    return { kind: 'send', script: this, step: 'statement', counts: NONE }
+    return { kind: 'send', script: this, step: 'statement', counts: NO_COUNTS }
   }
 
   answered (_step: RunStep, event: Answered): RunNext<RunScript> {
     switch (this.spec.access) {
-      case 'begin': return event.isOpen ? kept(event) : close(refuse('lostTransaction', 'no transaction began'))
+      case 'begin': return event.isOpen ? kept(event) : endAndClose(refuse('lostTransaction', 'no transaction began'))
       // A statement that ended its transaction has committed what came before it, which nobody asked for.
-      case 'inside': return event.isOpen ? kept(event) : close(refuse('endedTransaction'))
-      case 'commit': return event.token === undefined ? proved(event, 'reset') : written(event, 'reset')
-      case 'rollback': return written(event, 'reset')
-      case 'write': return event.token === undefined ? proved(event, 'clean') : written(event, 'clean')
-      default: return written(event, 'clean')
+      case 'inside': return event.isOpen ? kept(event) : endAndClose(refuse('endedTransaction'))
+      case 'commit': return event.token === undefined ? endAfterProof(event, 'reset') : endAfterConfirmation(event, 'reset')
+      case 'rollback': return endAfterConfirmation(event, 'reset')
+      case 'write': return event.token === undefined ? endAfterProof(event, 'clean') : endAfterConfirmation(event, 'clean')
+      default: return endAfterConfirmation(event, 'clean')
     }
   }
 
   found (): RunNext<RunScript> {
-    return close(refuse('lost'))
+    return endAndClose(refuse('lost'))
   }
 
   refused (_step: RunStep, event: Refused): RunNext<RunScript> {
-    const { access, commitsItself } = this.spec
-    const failed: Last = { kind: 'failed', code: event.code, message: event.message }
+    const { access, mayCommitImplicitly: commitsItself } = this.spec
+    const failed: FinalAction = { kind: 'failed', code: event.code, message: event.message }
     const isRead = access === 'read' || access === 'strict'
     const kind = errorKind(event.code, event.message)
-    if (kind === 'unclear' && !isRead) return close(refuse(this.broken('statement', 'lost'), event.message))
+    if (kind === 'unclear' && !isRead) return endAndClose(refuse(this.lossReason('statement', 'lost'), event.message))
     // A procedure may have committed its first statements before one was refused.
-    if (kind === 'readOnly' && commitsItself) return close(refuse('lost', event.message))
+    if (kind === 'readOnly' && commitsItself) return endAndClose(refuse('lost', event.message))
     switch (access) {
-      case 'begin': return close(kind === 'readOnly' ? refuse('replaced') : failed)
+      case 'begin': return endAndClose(kind === 'readOnly' ? refuse('replaced') : failed)
       case 'commit':
       case 'rollback':
       case 'inside':
-        if (kind === 'readOnly' || kind === 'rolledBack') return close(refuse('lostTransaction', event.message))
-        return access === 'inside' ? { kind: 'end', back: { kind: 'keep' }, last: failed } : close(failed)
+        if (kind === 'readOnly' || kind === 'rolledBack') return endAndClose(refuse('lostTransaction', event.message))
+        return access === 'inside' ? { kind: 'end', back: { kind: 'keep' }, last: failed } : endAndClose(failed)
       default: return { kind: 'end', back: { kind: 'giveBack', how: 'clean' }, last: kind === 'readOnly' ? refuse('replaced') : failed }
     }
   }
 
   /** While COMMIT was never sent, all that the endpoint can do about a closed connection is to roll back. */
-  broken (_step: RunStep, reason: 'lost' | 'deadline'): ReasonName {
-    const { access, commitsItself } = this.spec
+  lossReason (_step: RunStep, reason: 'lost' | 'deadline'): ReasonName {
+    const { access, mayCommitImplicitly: commitsItself } = this.spec
     const isUndone = access === 'begin' || access === 'rollback' || (access === 'inside' && !commitsItself)
     return isUndone ? 'lostTransaction' : reason
   }
@@ -80,7 +80,7 @@
  * ("no such booking", say). A proof that is asked for now covers all that it
  * saw, since terms only grow.
  */
-function proved ({ counts, isOpen }: Answered, how: 'clean' | 'reset'): RunNext<RunScript> {
+function endAfterProof ({ counts, isOpen }: Answered, how: 'clean' | 'reset'): RunNext<RunScript> {
   return {
     kind: 'prove',
     back: { kind: 'giveBack', how: isOpen ? 'close' : how },
@@ -88,17 +88,17 @@
   }
 }
 
-function written (event: Answered, how: 'clean' | 'reset'): RunNext<RunScript> {
+function endAfterConfirmation (event: Answered, how: 'clean' | 'reset'): RunNext<RunScript> {
   const { counts, token, isOpen } = event
   const back: RunAction = { kind: 'giveBack', how: isOpen ? 'close' : how }
-  const last: Last = { kind: 'done', counts, token, isOpen: false }
+  const last: FinalAction = { kind: 'done', counts, token, isOpen: false }
   return token === undefined ? { kind: 'end', back, last } : { kind: 'confirm', back, token, last }
 }
 
-function close (last: Last): RunNext<RunScript> {
+function endAndClose (last: FinalAction): RunNext<RunScript> {
   return { kind: 'end', back: { kind: 'giveBack', how: 'close' }, last }
 }
 
-function refuse (reason: ReasonName, detail = ''): Last {
+function refuse (reason: ReasonName, detail = ''): FinalAction {
   return { kind: 'refuse', reason, detail }
 }
--- a/src/core/request/budget.ts
+++ b/src/core/request/retrybudget.ts
@@ -4,5 +4,5 @@
 
 export interface RetryBudget {
   /** Takes one retry out of the budget; false when none is left. Asked only when a retry would follow. */
-  mayRetry (now: Instant): boolean
+  tryTakeRetry (now: Instant): boolean
 }
--- a/src/core/request/runnext.ts
+++ b/src/core/request/runnext.ts
@@ -5,8 +5,8 @@
 import type { RunAction } from './runaction.ts'
 import type { RunStep } from './runstep.ts'
 
-type Back = Extract<RunAction, { kind: 'keep' | 'giveBack' }>
-type Last = Extract<RunAction, { kind: 'done' | 'failed' | 'refuse' }>
+type ConnectionAction = Extract<RunAction, { kind: 'keep' | 'giveBack' }>
+type FinalAction = Extract<RunAction, { kind: 'done' | 'failed' | 'refuse' }>
 
 /**
  * - `send`: the next statement; `script` is the state in which the script then is.
@@ -16,6 +16,6 @@
  */
 export type RunNext<Script> =
   | { readonly kind: 'send', readonly script: Script, readonly step: RunStep, readonly counts: Counts }
-  | { readonly kind: 'end', readonly back: Back, readonly last: Last }
-  | { readonly kind: 'prove', readonly back: Back, readonly last: Last }
-  | { readonly kind: 'confirm', readonly back: Back, readonly token: Token, readonly last: Last }
+  | { readonly kind: 'end', readonly back: ConnectionAction, readonly last: FinalAction }
+  | { readonly kind: 'prove', readonly back: ConnectionAction, readonly last: FinalAction }
+  | { readonly kind: 'confirm', readonly back: ConnectionAction, readonly token: Token, readonly last: FinalAction }
--- a/src/core/request/runscript.ts
+++ b/src/core/request/runscript.ts
@@ -12,5 +12,5 @@
   found (event: Extract<RunEvent, { kind: 'found' }>): RunNext<RunScript>
   refused (step: RunStep, event: Extract<RunEvent, { kind: 'refused' }>): RunNext<RunScript>
   /** What is known when the connection breaks, or is closed, before the answer to the step. */
-  broken (step: RunStep, reason: 'lost' | 'deadline'): ReasonName
+  lossReason (step: RunStep, reason: 'lost' | 'deadline'): ReasonName
 }
--- a/src/core/request/run.test.ts
+++ b/src/core/request/slotrun.test.ts
@@ -5,7 +5,7 @@
 import { reasons } from '../reason.ts'
 import { Token } from '../token.ts'
 import type { Counts } from './counts.ts'
-import { SlotRun } from './run.ts'
+import { SlotRun } from './slotrun.ts'
 import type { RunAction } from './runaction.ts'
 import type { RunEvent } from './runevent.ts'
 import type { RunSpec } from './runspec.ts'
@@ -13,8 +13,8 @@
 
 const SEED = 20_262
 const NONE: Counts = { affected: 0, insertId: 0 }
-const of = (access: RunSpec['access'], change: Partial<RunSpec> = {}): RunSpec => ({ access, isOnce: false, commitsItself: false, ...change })
-const once = of('write', { isOnce: true })
+const of = (access: RunSpec['access'], change: Partial<RunSpec> = {}): RunSpec => ({ access, hasIdempotencyKey: false, mayCommitImplicitly: false, ...change })
+const once = of('write', { hasIdempotencyKey: true })
 const ok = (isOpen = false, position = 0, hasRows = false): RunEvent =>
   ({ kind: 'answered', counts: NONE, isOpen, hasRows, token: position === 0 ? undefined : Token.of(1, position) })
 const err = (code: number, message = ''): RunEvent => ({ kind: 'refused', code, message })
@@ -48,7 +48,7 @@
     ['a read that left a transaction open', 'close, done', of('read'), [ok(true)]],
     ['a write at a replaced primary', 'clean, replaced', of('write'), [READ_ONLY]],
     ['a write that another option of the server forbids', 'clean, failed', of('write'), [err(1290, 'running with the --secure-file-priv option')]],
-    ['a procedure at a replaced primary may have run in part', 'close, lost', of('write', { commitsItself: true }), [READ_ONLY]],
+    ['a procedure at a replaced primary may have run in part', 'close, lost', of('write', { mayCommitImplicitly: true }), [READ_ONLY]],
     ['a write cut off by a shutdown may be committed', 'close, lost', of('write'), [err(1053)]],
     ['a write past its deadline', 'close, deadline', of('write'), [deadline]],
     ['an answer after the deadline reaches nobody', '', of('write'), [deadline, ok(false, 7)]],
@@ -60,7 +60,7 @@
     ['a deadlock ends it', 'close, lostTransaction', of('inside'), [err(1213)]],
     ['a replaced primary ends it', 'close, lostTransaction', of('inside'), [READ_ONLY]],
     ['a lost connection rolls it back', 'close, lostTransaction', of('inside'), [lost]],
-    ['unless the statement commits by itself', 'close, lost', of('inside', { commitsItself: true }), [lost]],
+    ['unless the statement commits by itself', 'close, lost', of('inside', { mayCommitImplicitly: true }), [lost]],
     ['its caller gives it up while a statement runs', 'close, lostTransaction', of('inside'), [{ kind: 'released' }]],
     ['COMMIT', 'reset, confirm', of('commit'), [ok(false, 7)]],
     ['COMMIT AND CHAIN', 'close, confirm', of('commit'), [ok(true, 7)]],
@@ -93,7 +93,7 @@
   it('runs a key at most once and tells the truth of it', () => {
     fc.assert(fc.property(fc.array(commands, { maxLength: 16 }), script => {
       const endpoint = new Endpoint()
-      const tries = [new Try(endpoint, once), new Try(endpoint, once), new Try(endpoint, once), new Try(endpoint, of('settle', { isOnce: true }))]
+      const tries = [new Try(endpoint, once), new Try(endpoint, once), new Try(endpoint, once), new Try(endpoint, of('settle', { hasIdempotencyKey: true }))]
       for (const command of script) {
         for (let i = 0; i < command.steps; i++) tries[command.who]!.advance('none', command.holds)
         if (command.fault === 'failover') endpoint.failOver(command.keeps)
--- a/src/core/request/run.ts
+++ b/src/core/request/slotrun.ts
@@ -9,7 +9,7 @@
  */
 
 import type { ReasonName } from '../reasonname.ts'
-import { LedgerScript } from './ledgerscript.ts'
+import { IdempotentScript } from './idempotentscript.ts'
 import { PlainScript } from './plainscript.ts'
 import type { RunAction } from './runaction.ts'
 import type { RunEvent } from './runevent.ts'
@@ -37,8 +37,8 @@
   ) {}
 
   static create (spec: RunSpec): SlotRun {
-    const isKeyed = spec.access === 'settle' || (spec.isOnce && (spec.access === 'write' || spec.access === 'begin'))
-    return new SlotRun(spec, isKeyed ? LedgerScript.of(spec) : PlainScript.of(spec), { kind: 'new' })
+    const isKeyed = spec.access === 'settle' || (spec.hasIdempotencyKey && (spec.access === 'write' || spec.access === 'begin'))
+    return new SlotRun(spec, isKeyed ? IdempotentScript.of(spec) : PlainScript.of(spec), { kind: 'new' })
   }
 
   get isOver (): boolean {
@@ -47,25 +47,25 @@
 
   step (event: RunEvent): Step {
     const { phase } = this
-    if (phase.kind === 'over') return this.late(event)
+    if (phase.kind === 'over') return this.ignoreAfterEnd(event)
     switch (event.kind) {
       case 'start': return this.start()
-      case 'proved': return this.proved(event.holds)
-      case 'obtained': return phase.kind === 'obtaining' ? this.follow(this.script.first()) : this.idle
+      case 'proved': return this.handleProof(event.holds)
+      case 'obtained': return phase.kind === 'obtaining' ? this.apply(this.script.first()) : this.idle
       case 'unobtainable': return phase.kind === 'obtaining' ? this.refuse(event.reason, event.detail) : this.idle
-      case 'answered': return phase.kind === 'running' ? this.follow(this.script.answered(phase.step, event)) : this.idle
-      case 'found': return phase.kind === 'running' ? this.follow(this.script.found(event)) : this.idle
-      case 'refused': return phase.kind === 'running' ? this.follow(this.script.refused(phase.step, event)) : this.idle
-      case 'lost': return this.broken('lost', event.detail)
-      case 'released': return this.broken('lost', 'its transaction was given up')
+      case 'answered': return phase.kind === 'running' ? this.apply(this.script.answered(phase.step, event)) : this.idle
+      case 'found': return phase.kind === 'running' ? this.apply(this.script.found(event)) : this.idle
+      case 'refused': return phase.kind === 'running' ? this.apply(this.script.refused(phase.step, event)) : this.idle
+      case 'lost': return this.loseConnection('lost', event.detail)
+      case 'released': return this.loseConnection('lost', 'its transaction was given up')
       case 'confirmed': return phase.kind === 'confirming' ? this.confirmed(phase.last, event.holds) : this.idle
       case 'deadline': return this.deadline()
-      case 'cancelled': return this.cancelled()
+      case 'cancelled': return this.cancel()
     }
   }
 
   /** A connection that was obtained after all was over has carried nothing of this request. */
-  private late (event: RunEvent): Step {
+  private ignoreAfterEnd (event: RunEvent): Step {
     return { run: this, actions: event.kind === 'obtained' ? [{ kind: 'giveBack', how: 'clean' }] : [] }
   }
 
@@ -75,15 +75,15 @@
     return this.to({ kind: 'obtaining' }, { kind: 'obtain' })
   }
 
-  private proved (holds: boolean): Step {
+  private handleProof (holds: boolean): Step {
     const { phase } = this
     if (phase.kind !== 'proving' && phase.kind !== 'verifying') return this.idle
     if (holds && phase.kind === 'verifying') return this.to({ kind: 'over' }, phase.last)
-    if (!holds) return this.unproved()
+    if (!holds) return this.refuseUnproved()
     return this.to({ kind: 'obtaining' }, { kind: 'obtain' })
   }
 
-  private follow (next: RunNext<RunScript>): Step {
+  private apply (next: RunNext<RunScript>): Step {
     switch (next.kind) {
       case 'send': {
         const run = new SlotRun(this.spec, next.script, { kind: 'running', step: next.step })
@@ -105,30 +105,30 @@
   }
 
   /** A write without a position isn't known to have changed nothing: an endpoint may not tell positions at all. */
-  private unproved (): Step {
+  private refuseUnproved (): Step {
     return this.refuse(this.spec.access === 'write' ? 'unconfirmed' : 'unproved')
   }
 
   /** The connection must go: an answer is outstanding on it, or a transaction may be open. */
-  private broken (reason: 'lost' | 'deadline', detail: string): Step {
+  private loseConnection (reason: 'lost' | 'deadline', detail: string): Step {
     const { phase } = this
     if (phase.kind !== 'running') return this.idle
-    const name = this.script.broken(phase.step, reason)
+    const name = this.script.lossReason(phase.step, reason)
     return this.to({ kind: 'over' }, { kind: 'giveBack', how: 'close' }, { kind: 'refuse', reason: name, detail })
   }
 
   private deadline (): Step {
     switch (this.phase.kind) {
       case 'proving':
-      case 'verifying': return this.unproved()
-      case 'running': return this.broken('deadline', '')
+      case 'verifying': return this.refuseUnproved()
+      case 'running': return this.loseConnection('deadline', '')
       case 'confirming': return this.refuse('unconfirmed')
       default: return this.refuse('busy')
     }
   }
 
   /** Nobody is left to take an answer, so its connection must not be used for another's. */
-  private cancelled (): Step {
+  private cancel (): Step {
     const over = this.to({ kind: 'over' })
     if (this.phase.kind !== 'running') return over
     return { run: over.run, actions: [{ kind: 'giveBack', how: 'close' }] }
--- a/src/core/request/patience.test.ts
+++ b/src/core/request/waitsforprimary.test.ts
@@ -1,7 +1,7 @@
 /** Which requests wait out a failover. */
 
 import { describe, expect, it } from 'vitest'
-import { waitsForPrimary } from './patience.ts'
+import { waitsForPrimary } from './waitsforprimary.ts'
 
 // A caller reads right after a failover and is told "no second server could
 // prove that the primary is current". The new primary answers already, its
--- a/src/core/request/patience.ts
+++ b/src/core/request/waitsforprimary.ts
@@ -1,6 +1,6 @@
 /** Which requests wait out a failover. */
 
-import type { statementKind } from '../routing/statement.ts'
+import type { statementKind } from '../routing/statementkind.ts'
 
 /**
  * Urgent requests wait for a new primary, and so do reads that somebody waits
--- a/src/core/retry/budget.test.ts
+++ b/src/core/retry/sharedretrybudget.test.ts
@@ -4,12 +4,12 @@
 import { describe, expect, it } from 'vitest'
 import type { EndpointId } from '../id/endpoint.ts'
 import type { Instant } from '../id/instant.ts'
-import { alwaysRetry } from '../request/always.ts'
+import { alwaysRetry } from '../request/alwaysretry.ts'
 import { Attempts } from '../request/attempts.ts'
 import type { AttemptsEvent } from '../request/attemptsevent.ts'
-import type { RetryBudget } from '../request/budget.ts'
-import type { RequestSpec } from '../request/spec.ts'
-import { SharedBudget } from './budget.ts'
+import type { RetryBudget } from '../request/retrybudget.ts'
+import type { RequestSpec } from '../request/requestspec.ts'
+import { SharedRetryBudget } from './sharedretrybudget.ts'
 
 const DEADLINE_MS = 1000
 const endpoint = 'shop-1' as EndpointId
@@ -17,7 +17,7 @@
 /** Runs one read to its end against an endpoint that answers nothing, and counts what was sent. */
 function sends (budget: RetryBudget, began: number): number {
   const spec: RequestSpec = {
-    isRead: true, isOnce: false, place: 'alone', commitsItself: false, waitsForPrimary: false, deadline: began + DEADLINE_MS as Instant
+    isRead: true, hasIdempotencyKey: false, place: 'alone', mayCommitImplicitly: false, waitsForPrimary: false, deadline: began + DEADLINE_MS as Instant
   }
   let attempts = Attempts.create(spec, budget)
   let sent = 0
@@ -47,7 +47,7 @@
  */
 describe('in a full outage of an endpoint', () => {
   it.each([100, 1000, 10_000])('%i requests in ten seconds are sent at most 1.2 times each once there are enough to matter', requests => {
-    const budget = SharedBudget.create(0 as Instant)
+    const budget = SharedRetryBudget.create(0 as Instant)
     let sent = 0
     for (let i = 0; i < requests; i++) sent += sends(budget, i * 10_000 / requests)
     expect(sent - requests).toBeLessThanOrEqual(31)
@@ -69,20 +69,20 @@
   ['an urgent write waits for a promotion', true, [{ kind: 'unroutable', reason: 'noPrimary' }], 'wait'],
   ['any other request ends', false, [{ kind: 'routed', endpoint }, { kind: 'answered', attempt: 1, outcome: 'notRun', reason: 'unreachable' }], 'answer']
 ])('with an empty budget %s', (_, waitsForPrimary, events, expected) => {
-  const spec: RequestSpec = { isRead: false, isOnce: false, place: 'alone', commitsItself: false, waitsForPrimary, deadline: DEADLINE_MS as Instant }
-  const budget = SharedBudget.create(0 as Instant)
-  while (budget.mayRetry(0 as Instant));
+  const spec: RequestSpec = { isRead: false, hasIdempotencyKey: false, place: 'alone', mayCommitImplicitly: false, waitsForPrimary, deadline: DEADLINE_MS as Instant }
+  const budget = SharedRetryBudget.create(0 as Instant)
+  while (budget.tryTakeRetry(0 as Instant));
   let step = Attempts.create(spec, budget).step({ kind: 'start' }, 0 as Instant)
   for (const event of events) step = step.attempts.step(event, 0 as Instant)
   expect(step.actions.map(action => action.kind)).toEqual([expected])
 })
 
 it('retries what one request in twenty needs', () => {
-  const budget = SharedBudget.create(0 as Instant)
+  const budget = SharedRetryBudget.create(0 as Instant)
   let refused = 0
   for (let i = 0; i < 10_000; i++) {
-    if (i % 20 === 0 && !budget.mayRetry(0 as Instant)) refused++
-    budget.succeeded()
+    if (i % 20 === 0 && !budget.tryTakeRetry(0 as Instant)) refused++
+    budget.recordSuccess()
   }
   expect(refused).toBe(0)
 })
@@ -90,14 +90,14 @@
 it('never gives more than its first tokens, its share and one a second, in any order', () => {
   const events = fc.array(fc.record({ isRetry: fc.boolean(), wait: fc.nat(20) }), { maxLength: 2000 })
   fc.assert(fc.property(events, all => {
-    const budget = SharedBudget.create(0 as Instant)
+    const budget = SharedRetryBudget.create(0 as Instant)
     let [now, given, succeeded] = [0, 0, 0]
     for (const one of all) {
       now += one.wait
       if (!one.isRetry) {
         succeeded++
-        budget.succeeded()
-      } else if (budget.mayRetry(now as Instant)) given++
+        budget.recordSuccess()
+      } else if (budget.tryTakeRetry(now as Instant)) given++
       expect(given).toBeLessThanOrEqual(20 + 0.1 * succeeded + now / 1000 + 1e-6)
     }
   }), { seed: 7, numRuns: 100 })
--- a/src/core/routing/hints.test.ts
+++ b/src/core/routing/hints.test.ts
@@ -14,5 +14,5 @@
   const connection = Hints.none.with('deadline', '500ms')
   const expected = { deadlineMs: 500, ...fields }
   // Twice, since the expression that finds the pairs keeps its place.
-  for (let i = 0; i < 2; i++) expect(Hints.parse(sql).over(connection).fields).toEqual(expected)
+  for (let i = 0; i < 2; i++) expect(Hints.parse(sql).withDefaults(connection).fields).toEqual(expected)
 })
--- a/src/core/routing/hints.ts
+++ b/src/core/routing/hints.ts
@@ -38,19 +38,19 @@
     // Every request comes this way: matchAll copies the expression for each call, and a value for each pair is one too many.
     const fields: Writable<Fields> = {}
     PAIR.lastIndex = 0
-    for (let pair = PAIR.exec(comment); pair !== null; pair = PAIR.exec(comment)) put(fields, pair[1]!, pair[2] ?? pair[3]!)
+    for (let pair = PAIR.exec(comment); pair !== null; pair = PAIR.exec(comment)) setHint(fields, pair[1]!, pair[2] ?? pair[3]!)
     return new Hints(fields)
   }
 
   /** Sets one hint by its name; an unknown name or an unreadable value changes nothing. */
   with (key: string, value: string): Hints {
     const fields: Writable<Fields> = { ...this.fields }
-    put(fields, key, value)
+    setHint(fields, key, value)
     return new Hints(fields)
   }
 
   /** These hints, filled up with the other's. */
-  over (other: Hints): Hints {
+  withDefaults (other: Hints): Hints {
     if (other === Hints.none) return this
     if (this === Hints.none) return other
     return new Hints({ ...other.fields, ...this.fields })
@@ -58,7 +58,7 @@
 }
 
 /** Sets one hint in fields that nobody else holds yet. */
-function put (fields: Writable<Fields>, key: string, value: string): void {
+function setHint (fields: Writable<Fields>, key: string, value: string): void {
   switch (key.toLowerCase()) {
     case 'class':
       if (value === 'urgent' || value === 'normal' || value === 'browsing') fields.class = value
--- a/src/core/routing/route.test.ts
+++ b/src/core/routing/route.test.ts
@@ -11,7 +11,7 @@
 import type { Term } from '../id/term.ts'
 import { Token } from '../token.ts'
 import { hasApplied } from './applied.ts'
-import { Marks } from './marks.ts'
+import { Watermarks } from './watermarks.ts'
 import { routeRead } from './route.ts'
 
 type Change = Parameters<Sample['with']>[0]
@@ -32,13 +32,13 @@
     group: of,
     freshness: { kind: 'session' },
     token: Token.of(1, 10),
-    marks: Marks.empty.with(Token.of(1, 10), 900 as Instant).with(Token.of(1, 20), 990 as Instant),
+    watermarks: Watermarks.empty.with(Token.of(1, 10), 900 as Instant).with(Token.of(1, 20), 990 as Instant),
     near: new Set(),
     now: 1000 as Instant,
     chance: 0,
     since: 1000 as Instant,
     isRefreshed: true,
-    isNoteDue: false,
+    isWriteNoticePending: false,
     ...change
   })
   if (result.kind === 'wait') return `wait ${result.ms}`
@@ -53,8 +53,8 @@
     ['a replica far behind, not asked yet', 'wait 0', group(primary, sample('a', 9)), { isRefreshed: false }],
     ['a replica a little behind', 'wait 10', group(primary, sample('a', 20)), { token: Token.of(1, 21) }],
     ['waited long enough', 'primary p', group(primary, sample('a', 20)), { token: Token.of(1, 21), since: 990 as Instant }],
-    ['a note is due', 'note 2', group(primary, sample('a', 9)), { isNoteDue: true, since: 991 as Instant }],
-    ['a note is overdue', 'primary p', group(primary, sample('a', 9)), { isNoteDue: true, since: 990 as Instant }],
+    ['a note is due', 'note 2', group(primary, sample('a', 9)), { isWriteNoticePending: true, since: 991 as Instant }],
+    ['a note is overdue', 'primary p', group(primary, sample('a', 9)), { isWriteNoticePending: true, since: 990 as Instant }],
     ['a replica that can not be reached', 'primary p', group(primary, sample('a', 20, { reachable: false })), {}],
     ['a strict read', 'primary p', group(primary, sample('a', 20)), { freshness: { kind: 'strict' } }],
     ['an age that is proved', 'replica a', group(primary, sample('a', 10)), { freshness: { kind: 'age', ms: 100 } }],
@@ -75,7 +75,7 @@
 describe('Marks', () => {
   it('proves no age that is less than the true one when it thins itself out', () => {
     const times = Array.from({ length: 1000 }, (_, i) => i + 1)
-    const marks = times.reduce((all, i) => all.with(Token.of(1, i), i as Instant), Marks.empty)
+    const marks = times.reduce((all, i) => all.with(Token.of(1, i), i as Instant), Watermarks.empty)
     for (const applied of [1, 400, 800, 999, 1000]) {
       expect(marks.age(sample('a', applied), 1000 as Instant)).toBeGreaterThanOrEqual(1000 - applied)
     }
--- a/src/core/routing/route.ts
+++ b/src/core/routing/route.ts
@@ -7,14 +7,14 @@
 import type { Token } from '../token.ts'
 import { hasApplied } from './applied.ts'
 import type { Freshness } from './freshness.ts'
-import type { Marks } from './marks.ts'
+import type { Watermarks } from './watermarks.ts'
 
-interface Read {
+interface ReadRequest {
   readonly group: Group
   readonly freshness: Freshness
   /** The session's newest write, or the bound that stands in for it. */
   readonly token: Token
-  readonly marks: Marks
+  readonly watermarks: Watermarks
   /** Endpoints of the caller's own data centre. */
   readonly near: ReadonlySet<EndpointId>
   readonly now: Instant
@@ -25,7 +25,7 @@
   /** Whether the replicas were asked again for this read. */
   readonly isRefreshed: boolean
   /** Whether the note of a write that the session may have made is missing; most come within milliseconds. */
-  readonly isNoteDue: boolean
+  readonly isWriteNoticePending: boolean
 }
 
 type Route =
@@ -39,38 +39,38 @@
   | { readonly kind: 'none' }
 
 /** About what the way to the primary and its proof cost; a read doesn't wait longer for a replica. */
-const MOST_WAIT_MS = 15
-const LEAST_WAIT_MS = 2
+const MAX_REPLICA_WAIT_MS = 15
+const MIN_WAIT_MS = 2
 /** A note that takes longer than a round trip is lost, or was made by a process that isn't linked. */
-const MOST_NOTE_WAIT_MS = 10
+const MAX_NOTICE_WAIT_MS = 10
 /** How many queued requests a replica of another data centre is worth. */
-const HOP_QUEUE = 4
+const REMOTE_QUEUE_PENALTY = 4
 
 /**
  * Routes a read. A replica is chosen only when its sample proves that it has
  * applied the token and, for a stated age, when the marks prove the age.
  */
-export function routeRead (read: Read): Route {
+export function routeRead (read: ReadRequest): Route {
   const { group, freshness, token } = read
   if (!group.history.contains(token.term, token.position)) return { kind: 'lost', token }
   if (freshness.kind !== 'strict') {
     const able = group.alignedReplicas.filter(sample => isFresh(sample, read))
     if (able.length > 0) return { kind: 'replica', endpoint: leastLoaded(able, read).endpoint }
-    const ms = waitFor(read)
+    const ms = replicaWaitMs(read)
     if (ms !== undefined) return { kind: 'wait', ms }
-    if (read.isNoteDue && read.now - read.since < MOST_NOTE_WAIT_MS) return { kind: 'note', ms: LEAST_WAIT_MS }
+    if (read.isWriteNoticePending && read.now - read.since < MAX_NOTICE_WAIT_MS) return { kind: 'note', ms: MIN_WAIT_MS }
   }
   const { primary } = group
   return primary === undefined ? { kind: 'none' } : { kind: 'primary', endpoint: primary.endpoint }
 }
 
-function isFresh (sample: Sample, { freshness, token, marks, now }: Read): boolean {
+function isFresh (sample: Sample, { freshness, token, watermarks: marks, now }: ReadRequest): boolean {
   if (!hasApplied(sample, token)) return false
   return freshness.kind !== 'age' || marks.age(sample, now) <= freshness.ms
 }
 
-function leastLoaded (able: readonly Sample[], { near, chance }: Read): Sample {
-  const cost = (sample: Sample): number => sample.queued + (near.has(sample.endpoint) ? 0 : HOP_QUEUE)
+function leastLoaded (able: readonly Sample[], { near, chance }: ReadRequest): Sample {
+  const cost = (sample: Sample): number => sample.queued + (near.has(sample.endpoint) ? 0 : REMOTE_QUEUE_PENALTY)
   // A read comes this way each time, so the best are gathered in one turn.
   let least = Infinity
   let best: Sample[] = []
@@ -84,13 +84,13 @@
 }
 
 /** How long to wait before the replicas are asked again; undefined when the primary is the faster way. */
-function waitFor (read: Read): number | undefined {
-  const { group, isRefreshed, marks, now, since } = read
+function replicaWaitMs (read: ReadRequest): number | undefined {
+  const { group, isRefreshed, watermarks: marks, now, since } = read
   const replicas = group.alignedReplicas
   if (replicas.length === 0) return undefined
   if (!isRefreshed) return 0
-  const left = MOST_WAIT_MS - (now - since)
+  const left = MAX_REPLICA_WAIT_MS - (now - since)
   const lag = Math.min(...replicas.map(sample => marks.age(sample, now)))
   if (lag > left) return undefined
-  return Math.max(LEAST_WAIT_MS, Math.min(lag, left))
+  return Math.max(MIN_WAIT_MS, Math.min(lag, left))
 }
--- a/src/core/routing/statement.test.ts
+++ b/src/core/routing/statementkind.test.ts
@@ -1,7 +1,7 @@
 /** What a statement does, told from its first words. */
 
 import { describe, expect, it } from 'vitest'
-import { statementKind } from './statement.ts'
+import { statementKind } from './statementkind.ts'
 
 describe('statementKind', () => {
   it.each([
--- a/src/core/routing/statement.ts
+++ b/src/core/routing/statementkind.ts
@@ -6,7 +6,7 @@
  * never a stale or lost answer.
  */
 
-import { skipBlank } from './blank.ts'
+import { skipLeadingTrivia } from './trivia.ts'
 
 type StatementKind = 'read' | 'write' | 'begin' | 'commit' | 'rollback' | 'set' | 'use'
 
@@ -31,7 +31,7 @@
 
 /** The kind of one SQL statement. */
 export function statementKind (sql: string): StatementKind {
-  const body = skipBlank(sql)
+  const body = skipLeadingTrivia(sql)
   const word = /^[a-z]+/i.exec(body)?.[0].toLowerCase() ?? ''
   const kind = KINDS.get(word) ?? 'write'
   if (kind === 'begin' && word === 'start' && !/^start\s+transaction\b/i.test(body)) return 'write'
--- a/src/core/session/writes.test.ts
+++ b/src/core/session/recentwrites.test.ts
@@ -4,11 +4,11 @@
 import type { Position } from '../id/position.ts'
 import type { Term } from '../id/term.ts'
 import { Token } from '../token.ts'
-import { RecentWrites } from './writes.ts'
+import { RecentWrites } from './recentwrites.ts'
 
 const noted = (term: number, writers: ReadonlyArray<[number, number]>, most = 8): RecentWrites => {
   const writes = RecentWrites.create(most)
-  for (const [position, session] of writers) writes.note(term as Term, position as Position, session)
+  for (const [position, session] of writers) writes.add(term as Term, position as Position, session)
   return writes
 }
 
@@ -22,19 +22,19 @@
     ['a bound of another term', [[5, 1], [6, 1]], '3:6', 7, 4, '3:6']
   ] as const)('%s', (_, writers, bound, session, floor, token) => {
     const writes = noted(2, writers as unknown as Array<[number, number]>)
-    expect(writes.narrow(Token.parse(bound)!, session, floor as Position).toString()).toBe(token)
+    expect(writes.narrowBound(Token.parse(bound)!, session, floor as Position).toString()).toBe(token)
   })
 
   it('forgets the oldest notes, which then count as gaps', () => {
     const writes = noted(1, [[1, 1], [2, 1], [3, 1]], 2)
-    expect(writes.narrow(Token.of(1, 3), 7, 0 as Position).toString()).toBe('1:1')
+    expect(writes.narrowBound(Token.of(1, 3), 7, 0 as Position).toString()).toBe('1:1')
   })
 
   it('drops the notes of an older term and passes over late ones', () => {
     const writes = noted(1, [[1, 1], [2, 1]])
-    writes.note(2 as Term, 2 as Position, 1)
-    writes.note(1 as Term, 3 as Position, 1)
-    expect(writes.gap(Token.of(2, 3), 0 as Position)).toBe(3)
-    expect(writes.gap(Token.of(2, 2), 1 as Position)).toBeUndefined()
+    writes.add(2 as Term, 2 as Position, 1)
+    writes.add(1 as Term, 3 as Position, 1)
+    expect(writes.findGap(Token.of(2, 3), 0 as Position)).toBe(3)
+    expect(writes.findGap(Token.of(2, 2), 1 as Position)).toBeUndefined()
   })
 })
--- a/src/core/session/writes.ts
+++ b/src/core/session/recentwrites.ts
@@ -29,7 +29,7 @@
   }
 
   /** Takes a note in; one of an older term than the newest is of no use any more. */
-  note (term: Term, position: Position, session: number): void {
+  add (term: Term, position: Position, session: number): void {
     if (term < this.term) return
     if (term > this.term) this.sessions.clear()
     this.term = term
@@ -40,8 +40,8 @@
   }
 
   /** The newest position in (floor, bound] that has no note; undefined when all have one. */
-  gap (bound: Token, floor: Position): Position | undefined {
-    return this.findBack(bound, floor, session => session === undefined)
+  findGap (bound: Token, floor: Position): Position | undefined {
+    return this.findNewest(bound, floor, session => session === undefined)
   }
 
   /**
@@ -49,13 +49,13 @@
    * bound, as far as notes prove it. It isn't narrowed below `floor`, the
    * position that every replica in question has applied.
    */
-  narrow (bound: Token, session: number, floor: Position): Token {
-    const found = this.findBack(bound, floor, writer => writer === undefined || writer === session)
+  narrowBound (bound: Token, session: number, floor: Position): Token {
+    const found = this.findNewest(bound, floor, writer => writer === undefined || writer === session)
     const least = Math.min(floor, bound.position)
     return Token.of(bound.term, found ?? least)
   }
 
-  private findBack (bound: Token, floor: Position, test: (session: number | undefined) => boolean): Position | undefined {
+  private findNewest (bound: Token, floor: Position, test: (session: number | undefined) => boolean): Position | undefined {
     const isKnown = bound.term === this.term
     for (let position = bound.position; position > floor; position = position - 1 as Position) {
       if (test(isKnown ? this.sessions.get(position) : undefined)) return position
--- a/src/core/session/required.ts
+++ b/src/core/session/requiredtoken.ts
@@ -2,9 +2,9 @@
 
 import type { Group } from '../group/group.ts'
 import type { Token } from '../token.ts'
-import type { RecentWrites } from './writes.ts'
+import type { RecentWrites } from './recentwrites.ts'
 
-interface Asked {
+interface SessionRead {
   readonly group: Group
   /** The newest write of the session that this process, or the caller, knows of. */
   readonly known: Token
@@ -15,7 +15,7 @@
 }
 
 /** The least token that is proved to cover every acknowledged write of the session. */
-export function requiredToken ({ group, known, bound, writes, session }: Asked): Token {
+export function requiredToken ({ group, known, bound, writes, session }: SessionRead): Token {
   if (bound === undefined) return known
-  return writes.narrow(bound, session, group.minApplied).max(known)
+  return writes.narrowBound(bound, session, group.minApplied).max(known)
 }
--- a/src/core/session/values.test.ts
+++ b/src/core/session/sessionstate.test.ts
@@ -1,11 +1,11 @@
 /** What brings a shared connection to a session's values. */
 
 import { describe, expect, it } from 'vitest'
-import { Values } from './values.ts'
+import { SessionState } from './sessionstate.ts'
 
 /** Values as `name=value` texts. */
-function values (...pairs: string[]): Values {
-  const made = Values.empty()
+function values (...pairs: string[]): SessionState {
+  const made = SessionState.empty()
   for (const pair of pairs) {
     const [name, value] = pair.split('=') as [string, string]
     made.set(name, value)
@@ -13,7 +13,7 @@
   return made
 }
 
-function commands (connection: Values, session: Values): string[] {
+function commands (connection: SessionState, session: SessionState): string[] {
   return connection.commandsTo(session).map(command => command.kind === 'set' ? `${command.name}=${command.value}` : command.kind)
 }
 
--- a/src/core/session/values.ts
+++ b/src/core/session/sessionstate.ts
@@ -2,7 +2,7 @@
 
 import type { Command } from '../statement/command.ts'
 
-interface Prepared {
+interface PreparedStatement {
   readonly isWrite: boolean
   readonly shape: string
 }
@@ -17,14 +17,14 @@
  * statement the connection is brought to exactly the session's values, by a
  * reset where it holds a value that the session doesn't have.
  */
-export class Values {
+export class SessionState {
   private readonly values = new Map<string, string>()
-  private readonly prepared = new Map<string, Prepared>()
+  private readonly prepared = new Map<string, PreparedStatement>()
 
   private constructor () {}
 
-  static empty (): Values {
-    return new Values()
+  static empty (): SessionState {
+    return new SessionState()
   }
 
   set (name: string, value: string): void {
@@ -39,7 +39,7 @@
     return this.prepared.delete(name)
   }
 
-  statement (name: string): Prepared | undefined {
+  statement (name: string): PreparedStatement | undefined {
     return this.prepared.get(name)
   }
 
@@ -50,12 +50,12 @@
   }
 
   /** The commands it takes to bring a connection in this state to the session's values. */
-  distanceTo (session: Values): number {
+  commandCountTo (session: SessionState): number {
     return this.commandsTo(session).length
   }
 
   /** Own commands that bring a connection in this state to the session's values. Statements are prepared when one is used. */
-  commandsTo (session: Values): readonly Command[] {
+  commandsTo (session: SessionState): readonly Command[] {
     const needsReset = [...this.values.keys()].some(name => !session.values.has(name))
     const commands: Command[] = needsReset ? [{ kind: 'reset' }] : []
     for (const [name, value] of session.values) {
--- a/src/core/session/sessions.test.ts
+++ b/src/core/session/sessiontable.test.ts
@@ -5,7 +5,7 @@
 import type { SessionId } from '../id/session.ts'
 import { Token } from '../token.ts'
 import { Session } from './session.ts'
-import { Sessions } from './sessions.ts'
+import { SessionTable } from './sessiontable.ts'
 
 const GROUP = 'g' as GroupId
 const id = (name: string): SessionId => name as SessionId
@@ -13,7 +13,7 @@
 
 describe('Sessions', () => {
   it('forgets the least recently used named session', () => {
-    const sessions = Sessions.create(2)
+    const sessions = SessionTable.create(2)
     for (const name of ['a', 'b']) sessions.set(written(name))
     sessions.get(id('a'))
     sessions.set(written('c'))
@@ -24,7 +24,7 @@
   // come by, and the connection reads: it must still see its own write, of
   // which its row is the only record.
   it('keeps the row of a connection until it is closed', () => {
-    const sessions = Sessions.create(2)
+    const sessions = SessionTable.create(2)
     sessions.keep(id('own'))
     sessions.set(written('own'))
     for (let i = 0; i < 1000; i++) sessions.set(written(`s${i}`))
--- a/src/core/session/sessions.ts
+++ b/src/core/session/sessiontable.ts
@@ -12,14 +12,14 @@
  * connection's own row is all that is known of its writes, so it's kept until
  * the connection is closed.
  */
-export class Sessions {
+export class SessionTable {
   private readonly table = new Map<SessionId, Session>()
   private readonly kept = new Map<SessionId, Session>()
 
   private constructor (private readonly most: number) {}
 
-  static create (most: number): Sessions {
-    return new Sessions(most)
+  static create (most: number): SessionTable {
+    return new SessionTable(most)
   }
 
   get size (): number {
--- a/src/core/settings/problem.ts
+++ b/src/core/settings/issues.ts
@@ -12,11 +12,11 @@
  * `where` says where the known keys are listed; entries of lists are named by
  * their id where they have one.
  */
-export function problemsOf (issues: readonly Issue[], document: unknown, where: string): string {
-  return issues.flatMap(issue => linesOf(issue, document, where)).join('\n')
+export function describeIssues (issues: readonly Issue[], document: unknown, where: string): string {
+  return issues.flatMap(issue => describeIssue(issue, document, where)).join('\n')
 }
 
-function linesOf (issue: Issue, document: unknown, where: string): readonly string[] {
+function describeIssue (issue: Issue, document: unknown, where: string): readonly string[] {
   const path = pathOf(issue.path, document)
   if (issue.code === 'unrecognized_keys') {
     return issue.keys.map(key => `${path === '' ? key : `${path}.${key}`}: unknown key; remove it or see ${where}`)
--- a/src/core/settings/settings.ts
+++ b/src/core/settings/settings.ts
@@ -3,15 +3,15 @@
 import { err, ok, type Result } from 'neverthrow'
 import * as z from 'zod'
 import { parseAddress } from './address.ts'
-import { contradictionIn } from './contradiction.ts'
+import { findConflict } from './conflict.ts'
 import { parseDuration } from './duration.ts'
-import { problemsOf } from './problem.ts'
+import { describeIssues } from './issues.ts'
 import { parseSize } from './size.ts'
 
 /** One request to the platform, in milliseconds: the default that docs/OPERATIONS.md names. An estimate of a slow answer; no run gave the figure. */
 const PLATFORM_TIMEOUT_MS = 1000
 
-const LIST_OF_KEYS = '"Settings" in docs/OPERATIONS.md'
+const KEYS_REFERENCE = '"Settings" in docs/OPERATIONS.md'
 
 const duration = z.string({ error: 'write a duration as text with a unit, such as "250ms" or "1.5s"' }).transform((text, context) => {
   const parsed = parseDuration(text)
@@ -98,7 +98,7 @@
 /** The checked settings, or a line for each problem that names the key, what is wrong and the remedy. */
 export function parseSettings (document: unknown): Result<Settings, string> {
   const parsed = shape.safeParse(document)
-  if (!parsed.success) return err(problemsOf(parsed.error.issues, document, LIST_OF_KEYS))
-  const contradiction = contradictionIn(parsed.data)
+  if (!parsed.success) return err(describeIssues(parsed.error.issues, document, KEYS_REFERENCE))
+  const contradiction = findConflict(parsed.data)
   return contradiction === undefined ? ok(parsed.data) : err(contradiction)
 }
--- a/src/core/statement/answer.ts
+++ b/src/core/statement/answer.ts
@@ -3,7 +3,7 @@
 import type { Instant } from '../id/instant.ts'
 import type { Token } from '../token.ts'
 import type { Fault } from './fault.ts'
-import type { EndpointStatus } from './status.ts'
+import type { EndpointStatus } from './endpointstatus.ts'
 
 export interface Answer {
   /** The rows as they came, bytes kept as they are; empty without rows. */
--- a/src/shell/caller/attempts.ts
+++ b/src/shell/caller/attempts.ts
@@ -6,11 +6,11 @@
 import type { Instant } from '../../core/id/instant.ts'
 import type { Outcome } from '../../core/outcome.ts'
 import type { ReasonName } from '../../core/reasonname.ts'
-import { alwaysRetry } from '../../core/request/always.ts'
+import { alwaysRetry } from '../../core/request/alwaysretry.ts'
 import { Attempts } from '../../core/request/attempts.ts'
 import type { AttemptsAction } from '../../core/request/attemptsaction.ts'
 import type { AttemptsEvent } from '../../core/request/attemptsevent.ts'
-import type { RequestSpec } from '../../core/request/spec.ts'
+import type { RequestSpec } from '../../core/request/requestspec.ts'
 import type { Hints } from '../../core/routing/hints.ts'
 import { fingerprint } from '../../core/session/fingerprint.ts'
 import type { Audit } from '../audit/audit.ts'
@@ -77,7 +77,7 @@
   }
 
   private arm (): void {
-    const ms = Math.max(1, this.attempts.wakeAt - this.context.now())
+    const ms = Math.max(1, this.attempts.tickDueAt - this.context.now())
     this.timer = setTimeout(() => {
       this.hear({ kind: 'tick' })
       if (!this.attempts.isOver) this.arm()
@@ -156,7 +156,7 @@
     this.signal.removeEventListener('abort', this.onLeft)
     this.context.metrics.requests.inc({ kind: this.req.kind, place: placeOf(this.target), outcome: DoneOutcome[done.outcome].toLowerCase() })
     if (this.isSent) this.trail.attempted(this.target!, done, this.began)
-    if (done.outcome === DoneOutcome.DONE) this.context.retryBudget?.succeeded()
+    if (done.outcome === DoneOutcome.DONE) this.context.retryBudget?.recordSuccess()
     this.resolve(this.trail.end(done))
   }
 }
--- a/src/shell/caller/connection.ts
+++ b/src/shell/caller/connection.ts
@@ -4,12 +4,12 @@
 import type { EndpointId } from '../../core/id/endpoint.ts'
 import type { Instant } from '../../core/id/instant.ts'
 import { implicitCommit } from '../../core/request/implicitcommit.ts'
-import type { RequestSpec } from '../../core/request/spec.ts'
+import type { RequestSpec } from '../../core/request/requestspec.ts'
 import type { ReasonName } from '../../core/reasonname.ts'
-import { waitsForPrimary } from '../../core/request/patience.ts'
+import { waitsForPrimary } from '../../core/request/waitsforprimary.ts'
 import { Hints } from '../../core/routing/hints.ts'
-import { skipBlank } from '../../core/routing/blank.ts'
-import { statementKind } from '../../core/routing/statement.ts'
+import { skipLeadingTrivia } from '../../core/routing/trivia.ts'
+import { statementKind } from '../../core/routing/statementkind.ts'
 import { Token } from '../../core/token.ts'
 import type { Handler } from '../mysql/handler.ts'
 import type { Reply } from '../mysql/reply.ts'
@@ -117,12 +117,12 @@
     const kind = statementKind(sql)
     if (kind === 'set') return this.set(sql, reply)
     if (kind === 'use') return await this.use(sql.replace(/^\s*use\s+/i, '').replace(/[`;\s]/g, ''), reply)
-    if (TOKEN.test(skipBlank(sql))) return this.tellToken(sql, reply, isBinary)
+    if (TOKEN.test(skipLeadingTrivia(sql))) return this.tellToken(sql, reply, isBinary)
     const settled = OUTCOME.exec(sql)?.[1]
     if (settled !== undefined) return await this.ask({ sql: '', kind: 'write', once: settled }, reply, isBinary)
     if (this.transaction === undefined && (kind === 'commit' || kind === 'rollback')) return reply.ok()
     const own = Hints.parse(sql)
-    const once = own.over(this.hints).fields.once ?? ''
+    const once = own.withDefaults(this.hints).fields.once ?? ''
     const reason = inadmissible({ sql, isRead: kind === 'read', once, ownOnce: own.fields.once ?? '' }, this.transaction)
     if (reason !== undefined) return answerCaller(this.refuse({ sql, kind, once }, reason), reply, this.transaction !== undefined)
     const isKeyed = this.transaction === undefined && (kind === 'write' || kind === 'begin')
@@ -131,7 +131,7 @@
 
   /** The token that a caller may bring to another proxy, or keep; empty when the session has written nothing through this one. */
   private tellToken (sql: string, reply: Reply, isBinary: boolean): void {
-    const token = this.reads.token(this.identity, Hints.parse(sql).over(this.hints))
+    const token = this.reads.token(this.identity, Hints.parse(sql).withDefaults(this.hints))
     answerText(reply, '@@agatepond_token', token.position === 0 ? '' : token.toString(), isBinary)
   }
 
@@ -140,13 +140,13 @@
     const { context, identity } = this
     const deadline = context.now()
     const done = refusal(0, reason)
-    const trail = context.audit.begin({ ...asked, identity, hints: Hints.parse(asked.sql).over(this.hints), deadline })
+    const trail = context.audit.begin({ ...asked, identity, hints: Hints.parse(asked.sql).withDefaults(this.hints), deadline })
     trail.attempted({ kind: 'nowhere', reason }, done, deadline)
     return trail.end(done)
   }
 
   private async ask ({ sql, kind, once }: Asked, reply: Reply, isBinary: boolean): Promise<void> {
-    const hints = Hints.parse(sql).over(this.hints)
+    const hints = Hints.parse(sql).withDefaults(this.hints)
     const { identity } = this
     const done = await attempt(this.context, {
       sql,
@@ -169,9 +169,9 @@
     const outside = kind === 'begin' ? 'begin' : 'alone'
     return {
       isRead: kind === 'read',
-      isOnce: once !== '',
+      hasIdempotencyKey: once !== '',
       place: transaction === undefined ? outside : inside,
-      commitsItself: implicitCommit(sql) === 'may',
+      mayCommitImplicitly: implicitCommit(sql) === 'may',
       waitsForPrimary: waitsForPrimary(kind, hints.fields.class),
       deadline: this.context.now() + (hints.fields.deadlineMs ?? this.context.deadlineMs) as Instant
     }
--- a/src/shell/caller/context.ts
+++ b/src/shell/caller/context.ts
@@ -5,8 +5,8 @@
 import type { EndpointId } from '../../core/id/endpoint.ts'
 import type { HostId } from '../../core/id/host.ts'
 import type { Instant } from '../../core/id/instant.ts'
-import type { SharedBudget } from '../../core/retry/budget.ts'
-import type { Sessions } from '../../core/session/sessions.ts'
+import type { SharedRetryBudget } from '../../core/retry/sharedretrybudget.ts'
+import type { SessionTable } from '../../core/session/sessiontable.ts'
 import type { Audit } from '../audit/audit.ts'
 import type { Metrics } from '../metrics/metrics.ts'
 import type { SlotPort } from '../peer/port.ts'
@@ -16,7 +16,7 @@
   readonly host: HostId
   readonly config: () => Config | undefined
   readonly groups: Groups
-  readonly sessions: Sessions
+  readonly sessions: SessionTable
   /** The owner of a slot of the endpoint, nearest first; undefined while nobody holds one. */
   readonly port: (endpoint: EndpointId) => SlotPort | undefined
   /** Of this process. */
@@ -25,7 +25,7 @@
   readonly chance: () => number
   readonly deadlineMs: number
   /** Limits retries over all requests; none when left out. */
-  readonly retryBudget?: SharedBudget
+  readonly retryBudget?: SharedRetryBudget
   readonly now: () => Instant
   readonly metrics: Metrics
   readonly audit: Audit
--- a/src/shell/caller/groups.ts
+++ b/src/shell/caller/groups.ts
@@ -7,8 +7,8 @@
 import type { Instant } from '../../core/id/instant.ts'
 import type { Position } from '../../core/id/position.ts'
 import type { Term } from '../../core/id/term.ts'
-import { Marks } from '../../core/routing/marks.ts'
-import { RecentWrites } from '../../core/session/writes.ts'
+import { Watermarks } from '../../core/routing/watermarks.ts'
+import { RecentWrites } from '../../core/session/recentwrites.ts'
 import type { Token } from '../../core/token.ts'
 
 /** Notes of writes kept for each group: some seconds of a busy one. */
@@ -18,7 +18,7 @@
 export class Groups {
   private readonly groups = new Map<GroupId, Group>()
   private readonly ids = new Map<EndpointId, GroupId>()
-  private readonly allMarks = new Map<GroupId, Marks>()
+  private readonly allMarks = new Map<GroupId, Watermarks>()
   private readonly allWrites = new Map<GroupId, RecentWrites>()
   private readonly waiting = new Set<() => void>()
 
@@ -46,8 +46,8 @@
   }
 
   /** What this process has proved of the primary's progress. */
-  marks (id: GroupId): Marks {
-    return this.allMarks.get(id) ?? Marks.empty
+  marks (id: GroupId): Watermarks {
+    return this.allMarks.get(id) ?? Watermarks.empty
   }
 
   mark (id: GroupId, bound: Token, at: Instant): void {
@@ -67,7 +67,7 @@
   note (endpoint: EndpointId, term: Term, position: Position, session: number): void {
     const id = this.ids.get(endpoint)
     if (id === undefined) return
-    this.writes(id).note(term, position, session)
+    this.writes(id).add(term, position, session)
     this.wake()
   }
 
--- a/src/shell/caller/reads.test.ts
+++ b/src/shell/caller/reads.test.ts
@@ -15,7 +15,7 @@
 import type { Term } from '../../core/id/term.ts'
 import type { ConfigVersion } from '../../core/id/version.ts'
 import { Hints } from '../../core/routing/hints.ts'
-import { Sessions } from '../../core/session/sessions.ts'
+import { SessionTable } from '../../core/session/sessiontable.ts'
 import { Token } from '../../core/token.ts'
 import type { CallerContext } from './context.ts'
 import { Groups } from './groups.ts'
@@ -47,7 +47,7 @@
     IDS.forEach((id, i) => this.groups.learn(sample(id, i === 0 ? 'primary' : 'replica', i === 0 ? this.position : applied)))
     const port = { confirm: async (id: EndpointId) => await this.confirm(id) }
     this.reads = Reads.create({
-      config: () => config, groups: this.groups, sessions: Sessions.create(10), port: () => port, dataCentre: 'dc' as DataCentreId, chance: () => 0, now: () => (this.now += STEP_MS) as Instant
+      config: () => config, groups: this.groups, sessions: SessionTable.create(10), port: () => port, dataCentre: 'dc' as DataCentreId, chance: () => 0, now: () => (this.now += STEP_MS) as Instant
     } as unknown as CallerContext)
   }
 
--- a/src/shell/caller/reads.ts
+++ b/src/shell/caller/reads.ts
@@ -11,7 +11,7 @@
 import type { Hints } from '../../core/routing/hints.ts'
 import { routeRead } from '../../core/routing/route.ts'
 import { fingerprint } from '../../core/session/fingerprint.ts'
-import { requiredToken } from '../../core/session/required.ts'
+import { requiredToken } from '../../core/session/requiredtoken.ts'
 import { Token } from '../../core/token.ts'
 import { BoundRounds } from './bound.ts'
 import type { CallerContext } from './context.ts'
@@ -87,9 +87,9 @@
       const group = read.avoid.reduce(withoutReplica, known)
       const writes = groups.writes(read.group)
       const token = requiredToken({ ...read, group, writes, session: fingerprint(read.session) })
-      const isNoteDue = read.bound !== undefined && writes.gap(read.bound, group.minApplied) !== undefined
+      const isNoteDue = read.bound !== undefined && writes.findGap(read.bound, group.minApplied) !== undefined
       const route = routeRead({
-        ...read, group, token, marks: groups.marks(read.group), now: now(), chance: this.context.chance(), isRefreshed, isNoteDue
+        ...read, group, token, watermarks: groups.marks(read.group), now: now(), chance: this.context.chance(), isRefreshed, isWriteNoticePending: isNoteDue
       })
       switch (route.kind) {
         case 'lost': return this.tellLost(read)
--- a/src/shell/config/follower.ts
+++ b/src/shell/config/follower.ts
@@ -2,11 +2,11 @@
 
 import { create } from '@bufbuild/protobuf'
 import { ConfigBodySchema, ConfigDigestSchema, type ConfigBody, type Frame } from '../../gen/peer_pb.ts'
-import type { Candidate } from '../../core/config/candidate.ts'
+import type { ConfigCandidate } from '../../core/config/configcandidate.ts'
 import type { Config } from '../../core/config/config.ts'
-import { Holder } from '../../core/config/holder.ts'
-import { pollDelay } from '../../core/config/polling.ts'
-import { Startup } from '../../core/config/startup.ts'
+import { ConfigHolder } from '../../core/config/configholder.ts'
+import { pollDelayMs } from '../../core/config/polldelay.ts'
+import { ConfigStartup } from '../../core/config/configstartup.ts'
 import type { GossipAction } from '../../core/gossip/action.ts'
 import type { GossipEvent } from '../../core/gossip/event.ts'
 import { Gossip } from '../../core/gossip/gossip.ts'
@@ -38,17 +38,17 @@
 
 /** The loop round the core's holder and gossip. */
 export class ConfigFollower {
-  private holder = Holder.empty
+  private holder = ConfigHolder.empty
   private gossip = Gossip.create()
-  private startup: Startup
+  private startup: ConfigStartup
   private roles: Roles
   private misses = 0
   /** What peers offered while it wasn't clear yet whether one of them has a higher version. */
-  private early: { readonly candidate: Candidate, readonly from: HostId } | undefined
+  private early: { readonly candidate: ConfigCandidate, readonly from: HostId } | undefined
   private storeProblem = ''
 
   private constructor (private readonly options: Options) {
-    this.startup = Startup.begin(options.now())
+    this.startup = ConfigStartup.begin(options.now())
     this.roles = Roles.of(options.self, [])
   }
 
@@ -81,7 +81,7 @@
 
   useHosts (hosts: readonly Host[]): void {
     this.roles = Roles.of(this.options.self, hosts)
-    this.startup = this.startup.listed(hosts.filter(host => host.id !== this.options.self).map(host => host.id))
+    this.startup = this.startup.withPeers(hosts.filter(host => host.id !== this.options.self).map(host => host.id))
     this.step({ kind: 'members', partners: this.roles.partners })
   }
 
@@ -112,12 +112,12 @@
 
   private takeEarly (): void {
     const { early } = this
-    if (early === undefined || !this.startup.mayTake(early.candidate.version, this.options.now())) return
+    if (early === undefined || !this.startup.canTake(early.candidate.version, this.options.now())) return
     this.early = undefined
     this.offer(early.candidate, early.from)
   }
 
-  private offer (candidate: Candidate, from: HostId | undefined, reply?: Reply): void {
+  private offer (candidate: ConfigCandidate, from: HostId | undefined, reply?: Reply): void {
     const offered = this.holder.offer(candidate)
     if (offered.isOk()) return this.apply(offered.value, from)
     const { error } = offered
@@ -125,7 +125,7 @@
     if (error.kind === 'invalid') this.options.log.write('configUnreadable', { version: candidate.version, problem: error.problem })
   }
 
-  private apply (holder: Holder, from: HostId | undefined): void {
+  private apply (holder: ConfigHolder, from: HostId | undefined): void {
     this.holder = holder
     this.options.onApply(holder.config!)
     this.options.log.write('configApplied', { version: holder.version, from: from ?? 'store' })
@@ -154,7 +154,7 @@
     while (!signal.aborted) {
       await this.ask().catch((err: Error) => this.failed(err))
       const { misses, roles: { isPoller } } = this
-      const ms = pollDelay({ isPoller, hasConfig: this.config !== undefined, misses }, this.options.chance())
+      const ms = pollDelayMs({ isPoller, hasConfig: this.config !== undefined, misses }, this.options.chance())
       await new Promise(resolve => { setTimeout(resolve, ms) })
     }
   }
@@ -168,14 +168,14 @@
     }
     this.misses = newest === undefined ? this.misses + 1 : 0
     this.storeProblem = ''
-    this.startup = this.startup.storeRead()
+    this.startup = this.startup.withStoreRead()
     this.takeEarly()
   }
 
   private failed (err: Error): void {
     this.misses++
     this.storeProblem = err.message
-    this.startup = this.startup.storeFailed(err.message)
+    this.startup = this.startup.withStoreFailure(err.message)
     this.options.log.write('storeFailed', { err: err.message })
   }
 }
@@ -184,7 +184,7 @@
   return { case: 'configDigest', value: create(ConfigDigestSchema, { version }) }
 }
 
-function bodyFrame (candidate: Candidate | undefined): Frame['body'] | undefined {
+function bodyFrame (candidate: ConfigCandidate | undefined): Frame['body'] | undefined {
   if (candidate === undefined) return undefined
   const { version, base, body } = candidate
   return { case: 'configBody', value: create(ConfigBodySchema, { version, base, json: JSON.stringify(body) }) }
--- a/src/shell/config/revision.ts
+++ b/src/shell/config/revision.ts
@@ -1,9 +1,9 @@
 /** One accepted version as it is kept in the store. */
 
 import type { ConfigVersion } from '../../core/id/version.ts'
-import type { parseRecord } from '../../core/config/record.ts'
+import type { parseConfigRecord } from '../../core/config/configrecord.ts'
 
 export interface Revision {
   readonly version: ConfigVersion
-  readonly record: ReturnType<ReturnType<typeof parseRecord>['_unsafeUnwrap']>
+  readonly record: ReturnType<ReturnType<typeof parseConfigRecord>['_unsafeUnwrap']>
 }
--- a/src/shell/config/store.ts
+++ b/src/shell/config/store.ts
@@ -1,6 +1,6 @@
 /** The numbered configurations in the platform's store: rows in the table service, large documents in the object store. */
 
-import { parseRecord } from '../../core/config/record.ts'
+import { parseConfigRecord } from '../../core/config/configrecord.ts'
 import type { ConfigVersion } from '../../core/id/version.ts'
 import type { ObjectStore } from '../platform/objectstore.ts'
 import type { Row } from '../platform/row.ts'
@@ -66,7 +66,7 @@
 
 function revisionOf (row: Row | undefined): Revision | undefined {
   if (row === undefined) return undefined
-  const record = parseRecord(row.body)
+  const record = parseConfigRecord(row.body)
   if (record.isErr()) throw new Error(`version ${Number(row.sk)}: ${record.error}`)
   return { version: Number(row.sk) as ConfigVersion, record: record.value }
 }
--- a/src/shell/endpoint/execution.ts
+++ b/src/shell/endpoint/execution.ts
@@ -4,7 +4,7 @@
 import { Done_Outcome as DoneOutcome, DoneSchema, type Run } from '../../gen/peer_pb.ts'
 import type { TransactionId } from '../../core/id/transaction.ts'
 import type { Counts } from '../../core/request/counts.ts'
-import { SlotRun } from '../../core/request/run.ts'
+import { SlotRun } from '../../core/request/slotrun.ts'
 import type { RunAction } from '../../core/request/runaction.ts'
 import type { RunEvent } from '../../core/request/runevent.ts'
 import type { RunStep } from '../../core/request/runstep.ts'
@@ -49,7 +49,7 @@
     const spec = runSpecOf(req)
     const { access } = spec
     this.spec = spec
-    const isKeyed = access === 'settle' || (spec.isOnce && (access === 'write' || access === 'begin'))
+    const isKeyed = access === 'settle' || (spec.hasIdempotencyKey && (access === 'write' || access === 'begin'))
     this.machine = SlotRun.create(spec)
     this.entry = isKeyed ? LedgerEntry.of({ caller: req.caller, key: req.once, sql: req.sql, access, at: Date.now() }) : undefined
   }
--- a/src/shell/endpoint/ledger.ts
+++ b/src/shell/endpoint/ledger.ts
@@ -4,7 +4,7 @@
 import type { Counts } from '../../core/request/counts.ts'
 import type { RunEvent } from '../../core/request/runevent.ts'
 import type { RunStep } from '../../core/request/runstep.ts'
-import { skipBlank } from '../../core/routing/blank.ts'
+import { skipLeadingTrivia } from '../../core/routing/trivia.ts'
 import { textValues } from './textrow.ts'
 
 type Row = Extract<RunEvent, { kind: 'found' }>['row']
@@ -36,7 +36,7 @@
   ) {}
 
   static of ({ caller, key, sql, access, at }: Options): LedgerEntry {
-    const fingerprints = { write: hash(skipBlank(sql).trim()), begin: TRANSACTION, settle: VOID }
+    const fingerprints = { write: hash(skipLeadingTrivia(sql).trim()), begin: TRANSACTION, settle: VOID }
     return new LedgerEntry(hash(`${caller}\0${key}`), fingerprints[access], at)
   }
 
--- a/src/shell/endpoint/runspecof.ts
+++ b/src/shell/endpoint/runspecof.ts
@@ -3,10 +3,10 @@
 import { Run_Access as RunAccess, type Run } from '../../gen/peer_pb.ts'
 import { implicitCommit } from '../../core/request/implicitcommit.ts'
 import type { RunSpec } from '../../core/request/runspec.ts'
-import { statementKind } from '../../core/routing/statement.ts'
+import { statementKind } from '../../core/routing/statementkind.ts'
 
 export function runSpecOf (req: Pick<Run, 'access' | 'sql' | 'once'>): RunSpec {
-  return { access: accessOf(req), isOnce: req.once !== '', commitsItself: implicitCommit(req.sql) === 'may' }
+  return { access: accessOf(req), hasIdempotencyKey: req.once !== '', mayCommitImplicitly: implicitCommit(req.sql) === 'may' }
 }
 
 function accessOf ({ access, sql }: Pick<Run, 'access' | 'sql'>): RunSpec['access'] {
--- a/src/shell/mysql/statement.ts
+++ b/src/shell/mysql/statement.ts
@@ -1,6 +1,6 @@
 /** A statement that a caller prepared, and the values that it's executed with. */
 
-import { placeholders } from '../../core/routing/placeholders.ts'
+import { findPlaceholders } from '../../core/routing/placeholders.ts'
 
 const enum Type {
   Tiny = 1,
@@ -39,7 +39,7 @@
   private constructor (readonly id: number, readonly sql: string, private readonly places: readonly number[]) {}
 
   static of (id: number, sql: string): PreparedStatement {
-    return new PreparedStatement(id, sql, placeholders(sql))
+    return new PreparedStatement(id, sql, findPlaceholders(sql))
   }
 
   get parameters (): number {
--- a/src/shell/node/node.ts
+++ b/src/shell/node/node.ts
@@ -8,8 +8,8 @@
 import type { EndpointId } from '../../core/id/endpoint.ts'
 import type { HostId } from '../../core/id/host.ts'
 import type { Instant } from '../../core/id/instant.ts'
-import { SharedBudget } from '../../core/retry/budget.ts'
-import { Sessions } from '../../core/session/sessions.ts'
+import { SharedRetryBudget } from '../../core/retry/sharedretrybudget.ts'
+import { SessionTable } from '../../core/session/sessiontable.ts'
 import type { parseSettings } from '../../core/settings/settings.ts'
 import type { Audit } from '../audit/audit.ts'
 import { openAudit } from '../audit/open.ts'
@@ -125,12 +125,12 @@
       host: host.id as HostId,
       config: () => it.configs?.config,
       groups,
-      sessions: Sessions.create(settings.requests.sessions),
+      sessions: SessionTable.create(settings.requests.sessions),
       port: endpoint => slots.port(endpoint),
       dataCentre: host.dataCentre as DataCentreId,
       chance,
       deadlineMs: settings.requests.deadline,
-      retryBudget: SharedBudget.create(now()),
+      retryBudget: SharedRetryBudget.create(now()),
       now,
       metrics,
       audit: it.audit
--- a/src/shell/pool/allowance/allowances.ts
+++ b/src/shell/pool/allowance/allowances.ts
@@ -2,13 +2,13 @@
 
 import { err, ok, type Result } from 'neverthrow'
 import type { AllowanceBounds } from '../../../core/allowance/bounds.ts'
-import { Issuer } from '../../../core/allowance/issuer.ts'
-import { Issuers } from '../../../core/allowance/issuers.ts'
-import { Mandate } from '../../../core/allowance/mandate.ts'
+import { TokenIssuer } from '../../../core/allowance/tokenissuer.ts'
+import { IssuerTable } from '../../../core/allowance/issuertable.ts'
+import { IssuerLease } from '../../../core/allowance/issuerlease.ts'
 import type { Rate } from '../../../core/allowance/rate.ts'
 import { Shard } from '../../../core/allowance/shard.ts'
-import { Silence } from '../../../core/allowance/silence.ts'
-import { Tokens } from '../../../core/allowance/tokens.ts'
+import { IssuerBackOff } from '../../../core/allowance/issuerbackoff.ts'
+import { TeamTokens } from '../../../core/allowance/teamtokens.ts'
 import type { HostId } from '../../../core/id/host.ts'
 import type { Instant } from '../../../core/id/instant.ts'
 import type { TeamId } from '../../../core/id/team.ts'
@@ -56,7 +56,7 @@
 }
 
 interface Account {
-  readonly tokens: Tokens
+  readonly tokens: TeamTokens
   /** By which the places were worked out at which its tokens are asked for. */
   rate: Rate | undefined
   /** The first that came first. */
@@ -80,18 +80,18 @@
 const LEAST_RATE = 0.01
 
 export class Allowances {
-  private issuers: Issuers | undefined
-  private mandate: Mandate
+  private issuers: IssuerTable | undefined
+  private mandate: IssuerLease
   /** Whether it was told that this process starts anew at places. */
   private hasBegun = false
-  private readonly issuer = Issuer.create()
-  private readonly silence = Silence.create()
+  private readonly issuer = TokenIssuer.create()
+  private readonly silence = IssuerBackOff.create()
   private readonly accounts = new Map<TeamId, Account>()
   private readonly shards = new WeakMap<Rate, Shard>()
 
   private constructor (private readonly options: Options) {
     const { self, trustMs, isFirstStart, bornAt, port } = options
-    this.mandate = Mandate.none({ self, trustMs, isFirstStart, bornAt })
+    this.mandate = IssuerLease.none({ self, leaseMs: trustMs, isFirstStart, processStartedAt: bornAt })
     port.onAsked((team, place, count) => this.issue(team, place, count))
   }
 
@@ -101,12 +101,12 @@
 
   /** The shared row says who issues. */
   learnt (text: string): void {
-    const issuers = Issuers.decode(text)
+    const issuers = IssuerTable.decode(text)
     if (issuers === undefined) return
     this.issuers = issuers
-    this.mandate = this.mandate.learnt(issuers, this.options.now())
-    for (const [id, { tokens }] of this.accounts) tokens.move(this.placesOf(this.options.team(id)))
-    const begun = this.hasBegun ? [] : this.mandate.begun()
+    this.mandate = this.mandate.withTable(issuers, this.options.now())
+    for (const [id, { tokens }] of this.accounts) tokens.setPlaces(this.placesOf(this.options.team(id)))
+    const begun = this.hasBegun ? [] : this.mandate.restartedPlaces()
     if (begun.length === 0) return
     this.hasBegun = true
     this.options.onBegun(begun)
@@ -151,9 +151,9 @@
     const { id } = team
     const known = this.accounts.get(id)
     // Another allowance may lie in more shards, or in fewer.
-    if (known !== undefined && known.rate !== team.rate) known.tokens.move(this.placesOf(team))
+    if (known !== undefined && known.rate !== team.rate) known.tokens.setPlaces(this.placesOf(team))
     if (known !== undefined) return Object.assign(known, { rate: team.rate })
-    const account: Account = { rate: team.rate, tokens: Tokens.of(this.placesOf(team), this.silence, this.options.chance(), this.options.age()), waiting: [], isAsking: false, freeAt: -Infinity as Instant, isSilent: false }
+    const account: Account = { rate: team.rate, tokens: TeamTokens.of(this.placesOf(team), this.silence, this.options.chance(), this.options.age()), waiting: [], isAsking: false, freeAt: -Infinity as Instant, isSilent: false }
     this.accounts.set(id, account)
     return account
   }
@@ -172,7 +172,7 @@
     const { tokens, isAsking } = account
     const now = this.options.age()
     const { lifetimeMs } = this.shardOf(team.rate!)
-    if (!isAsking && tokens.left(now) * 2 < tokens.ahead(lifetimeMs, now)) this.ask(team, account)
+    if (!isAsking && tokens.left(now) * 2 < tokens.prefetchCount(lifetimeMs, now)) this.ask(team, account)
   }
 
   /** Asks one place after the other until those that wait have what they need, or there is nothing to be had. */
@@ -206,7 +206,7 @@
     metrics.tokenAsks.inc({ outcome: answer === undefined ? 'silent' : answer.count > 0 ? 'issued' : 'none' })
     onAsked(place, answer !== undefined)
     if (answer !== undefined) this.silence.answered(place)
-    if (answer === undefined) this.silence.missed(place, this.options.age())
+    if (answer === undefined) this.silence.recordTimeout(place, this.options.age())
     else tokens.answered(place, { ...answer, askedAt, lifetimeMs }, this.options.age())
     return answer !== undefined
   }
--- a/src/shell/pool/allowance/appointments.ts
+++ b/src/shell/pool/allowance/appointments.ts
@@ -1,6 +1,6 @@
 /** Keeps the shared row that says which hosts issue the tokens of teams. */
 
-import { Issuers } from '../../../core/allowance/issuers.ts'
+import { IssuerTable } from '../../../core/allowance/issuertable.ts'
 import type { HostId } from '../../../core/id/host.ts'
 import type { Instant } from '../../../core/id/instant.ts'
 import type { Row } from '../../../core/pool/membership/row.ts'
@@ -34,7 +34,7 @@
   static readonly key = KEY
   private version = 0
   private changedAt: Instant
-  private issuers: Issuers | undefined
+  private issuers: IssuerTable | undefined
   /** Since when places didn't answer this host. */
   private readonly silentSince = new Map<number, Instant>()
   private isWriting = false
@@ -50,7 +50,7 @@
   /** The row is known in a new version. */
   learnt ({ version, value }: Row): void {
     this.version = value === undefined ? 0 : version
-    this.issuers = value === undefined ? undefined : Issuers.decode(value)
+    this.issuers = value === undefined ? undefined : IssuerTable.decode(value)
     this.changedAt = clock.now()
     this.silentSince.clear()
   }
@@ -72,7 +72,7 @@
     if (now - this.changedAt < this.options.trustMs + GONE_MS) return
     const gone = [...this.silentSince].find(([, since]) => now - since >= GONE_MS)
     if (gone === undefined) return
-    const next = this.issuers.without(gone[0], this.hosts)
+    const next = this.issuers.withReplacement(gone[0], this.hosts)
     if (next !== undefined) this.write(next)
   }
 
@@ -82,10 +82,10 @@
 
   private appointFirst (now: Instant): void {
     const turn = [...this.hosts].sort().indexOf(this.options.self)
-    if (now - this.changedAt >= FIRST_MS + TURN_MS * turn) this.write(Issuers.first(this.hosts))
+    if (now - this.changedAt >= FIRST_MS + TURN_MS * turn) this.write(IssuerTable.initial(this.hosts))
   }
 
-  private async write (issuers: Issuers): Promise<void> {
+  private async write (issuers: IssuerTable): Promise<void> {
     const { store, table, log, metrics, signal } = this.options
     this.isWriting = true
     metrics.storeCalls.inc({ call: 'write', table: 'shared', why: 'issuers' })
--- a/src/shell/pool/context.ts
+++ b/src/shell/pool/context.ts
@@ -6,7 +6,7 @@
 import type { Route } from '../../core/pool/route.ts'
 import type { HostId } from '../../core/id/host.ts'
 import type { GroupId } from '../../core/id/group.ts'
-import type { SharedBudget } from '../../core/retry/budget.ts'
+import type { SharedRetryBudget } from '../../core/retry/sharedretrybudget.ts'
 import type { PoolHost } from '../../core/pool/placing/host.ts'
 import type { LineBudget } from '../../core/pool/statements/linebudget.ts'
 import type { Log } from '../log/log.ts'
@@ -35,7 +35,7 @@
   /** Opens a connection to a host that reaches an endpoint of the database. */
   readonly dialHost: (host: PoolHost, database: string, key: KeyDigest | undefined, timeoutMs: number) => ReturnType<Dialer['dialHost']>
   readonly group: (id: GroupId) => PoolGroup | undefined
-  readonly budget: SharedBudget
+  readonly budget: SharedRetryBudget
   readonly log: Log
   /** For lines of requests. */
   readonly lines: LineBudget
--- a/src/shell/pool/lending/idlelinks.ts
+++ b/src/shell/pool/lending/idlelinks.ts
@@ -3,7 +3,7 @@
 import type { Instant } from '../../../core/id/instant.ts'
 import type { TeamId } from '../../../core/id/team.ts'
 import { ConnectionUse } from '../../../core/pool/load/connectionuse.ts'
-import type { Values } from '../../../core/session/values.ts'
+import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { EndpointLink } from './link.ts'
 
 /** Changes in place: it's touched by every operation. */
@@ -62,13 +62,13 @@
    * Of the team's connections the one that takes the fewest commands to bring to the values; the last used among equals, so that the others may
    * rest. Undefined without one: a connection of another team never serves.
    */
-  take (team: TeamId | undefined, values: Values): EndpointLink | undefined {
+  take (team: TeamId | undefined, values: SessionState): EndpointLink | undefined {
     let best = -1
     let least = Infinity
     for (let i = this.links.length - 1; i >= 0 && least > 0; i--) {
       const link = this.links[i]!
       if (this.teams.get(link) !== team) continue
-      const distance = link.values.distanceTo(values)
+      const distance = link.values.commandCountTo(values)
       if (distance >= least) continue
       best = i
       least = distance
--- a/src/shell/pool/lending/lender.test.ts
+++ b/src/shell/pool/lending/lender.test.ts
@@ -7,7 +7,7 @@
 import type { OthersLoad } from '../../../core/pool/load/othersload.ts'
 import { Thrift } from '../../../core/pool/placing/thrift.ts'
 import { Answers } from '../../../core/pool/health/answers.ts'
-import { Values } from '../../../core/session/values.ts'
+import { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
 import type { Command } from '../../../core/statement/command.ts'
 import { Log } from '../../log/log.ts'
@@ -29,7 +29,7 @@
 
 /** A connection that answers when the test says so. */
 class FakeLink implements EndpointLink {
-  readonly values = Values.empty()
+  readonly values = SessionState.empty()
   isOpen = true
   isInTransaction = false
   sent = 0
@@ -85,7 +85,7 @@
   }
 
   async borrow (team: string, isTransaction = false): Promise<FakeLink> {
-    const lent = await this.lender.borrow({ rank: 1, caller: team, team: team as TeamId, leftMs: 1000, isTransaction, values: Values.empty() })
+    const lent = await this.lender.borrow({ rank: 1, caller: team, team: team as TeamId, leftMs: 1000, isTransaction, values: SessionState.empty() })
     return lent._unsafeUnwrap() as FakeLink
   }
 
--- a/src/shell/pool/lending/lender.ts
+++ b/src/shell/pool/lending/lender.ts
@@ -94,7 +94,7 @@
 
   /** For operators: `atWork` has the transactions in it that are between two statements. */
   get seen (): { readonly connections: number, readonly atWork: number, readonly waiting: readonly number[] } {
-    const { open, counts, queuedByClass } = this.admission
+    const { openConnections: open, counts, queuedByClass } = this.admission
     return { connections: open, atWork: counts.running, waiting: queuedByClass }
   }
 
@@ -127,7 +127,7 @@
     if (connections === this.limit) return
     this.limit = connections
     this.admission.resize(limitsOf(connections))
-    while (this.admission.open > connections && this.idle.size > 0) this.drop(this.idle.all[0]!)
+    while (this.admission.openConnections > connections && this.idle.size > 0) this.drop(this.idle.all[0]!)
   }
 
   /** Resolves always: a connection that nobody else uses until it's given back, or why there is none. */
@@ -145,7 +145,7 @@
     if (loan === undefined) return
     const { id, wish: { team } } = loan
     this.loans.delete(link)
-    const isUsable = link.isOpen && !link.isInTransaction && !this.isClosed && this.admission.open <= this.limit
+    const isUsable = link.isOpen && !link.isInTransaction && !this.isClosed && this.admission.openConnections <= this.limit
     const next = isUsable ? this.openings.next(team) : undefined
     if (next !== undefined) this.lend(link, next)
     else if (isUsable) this.idle.add(link)
@@ -280,7 +280,7 @@
   }
 
   private makeRoom (): void {
-    const { open, counts } = this.admission
+    const { openConnections: open, counts } = this.admission
     if (open + counts.pending < this.limit) this.step({ kind: 'added' })
     else if (this.places === undefined) this.idle.takeOldest()?.close()
     else this.idle.takeLeast(clock.now())?.close()
@@ -290,7 +290,7 @@
   private async turnToOpen (places: Places, waiter: Waiter): Promise<PlaceTicket | undefined> {
     const { id, wish: { team }, answer } = waiter
     const own = [...this.loans.values()].filter(({ wish }) => wish.team === team).length
-    const hasRoom = this.admission.open + this.admission.counts.pending < this.limit
+    const hasRoom = this.admission.openConnections + this.admission.counts.pending < this.limit
     const turn = await this.openings.turn(places, waiter, { own, openings: hasRoom ? 1 : 2 })
     if (typeof turn !== 'string') return turn
     if (turn === 'taken') return undefined
--- a/src/shell/pool/lending/limitsof.ts
+++ b/src/shell/pool/lending/limitsof.ts
@@ -9,5 +9,5 @@
  */
 export function limitsOf (connections: number): Limits {
   const lowest = Math.max(1, connections - 1)
-  return Limits.of(connections).with({ mostPinned: [connections, connections, lowest] })
+  return Limits.of(connections).with({ maxPinned: [connections, connections, lowest] })
 }
--- a/src/shell/pool/lending/link.ts
+++ b/src/shell/pool/lending/link.ts
@@ -1,6 +1,6 @@
 /** A connection to an endpoint, whatever protocol it speaks. */
 
-import type { Values } from '../../../core/session/values.ts'
+import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
 import type { Command } from '../../../core/statement/command.ts'
 
@@ -14,7 +14,7 @@
 /** Used by one borrower at a time. It ends itself when an answer isn't there in time, since later ones couldn't be told apart. */
 export interface EndpointLink {
   /** What was set and prepared on it. */
-  readonly values: Values
+  readonly values: SessionState
   readonly isOpen: boolean
   /** Whether its last answer left a transaction open. */
   readonly isInTransaction: boolean
--- a/src/shell/pool/lending/waiter.ts
+++ b/src/shell/pool/lending/waiter.ts
@@ -3,7 +3,7 @@
 import type { Result } from 'neverthrow'
 import type { Instant } from '../../../core/id/instant.ts'
 import type { TeamId } from '../../../core/id/team.ts'
-import type { Values } from '../../../core/session/values.ts'
+import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { EndpointLink } from './link.ts'
 
 interface Wish {
@@ -18,7 +18,7 @@
   readonly aimMs?: number
   readonly isTransaction: boolean
   /** A connection in the same state is preferred. */
-  readonly values: Values
+  readonly values: SessionState
   /** Aborted once nobody waits for it any more; undefined where it's lent all the same. */
   readonly gone?: AbortSignal | undefined
 }
--- a/src/shell/pool/node.ts
+++ b/src/shell/pool/node.ts
@@ -10,7 +10,7 @@
 import type { PoolHost } from '../../core/pool/placing/host.ts'
 import { LineBudget } from '../../core/pool/statements/linebudget.ts'
 import { MissedHosts } from '../../core/pool/placing/missedhosts.ts'
-import { SharedBudget } from '../../core/retry/budget.ts'
+import { SharedRetryBudget } from '../../core/retry/sharedretrybudget.ts'
 import { Issuing } from './allowance/issuing.ts'
 import { clock } from './clock.ts'
 import type { PoolContext } from './context.ts'
@@ -74,7 +74,7 @@
       missedHost: id => { this.missed = this.missed.with(id, clock.now()) },
       dialHost: async (host, database, key, ms) => await options.platform.dialer.dialHost(host, database, this.config.version, key, ms),
       group: id => this.groups.get(id),
-      budget: SharedBudget.create(clock.now()),
+      budget: SharedRetryBudget.create(clock.now()),
       lines: LineBudget.create(clock.now()),
       log,
       metrics,
--- a/src/shell/pool/statements/receipt.ts
+++ b/src/shell/pool/statements/receipt.ts
@@ -5,7 +5,7 @@
 import type { Instant } from '../../../core/id/instant.ts'
 import type { TeamId } from '../../../core/id/team.ts'
 import { Handover } from '../../../core/pool/succession/handover.ts'
-import { Values } from '../../../core/session/values.ts'
+import { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Token } from '../../../core/token.ts'
 import { Attempt } from '../lending/attempt.ts'
 import type { PoolGroup } from '../group.ts'
@@ -39,7 +39,7 @@
 
 async function statusOf ({ group, successor, database, team, deadline }: Options) {
   const lender = group.lender(successor)
-  const borrowed = await lender?.borrow({ rank: FIRST, caller: team ?? database, team, leftMs: left(deadline), isTransaction: false, values: Values.empty() })
+  const borrowed = await lender?.borrow({ rank: FIRST, caller: team ?? database, team, leftMs: left(deadline), isTransaction: false, values: SessionState.empty() })
   if (lender === undefined || borrowed?.isOk() !== true) return undefined
   const attempt = Attempt.on(group, lender, borrowed.value)
   const answer = await attempt.ask([{ kind: 'status' }], 0, left(deadline), false)
--- a/src/shell/pool/statements/runner.ts
+++ b/src/shell/pool/statements/runner.ts
@@ -8,7 +8,7 @@
 import type { Trail } from '../../../core/pool/statements/trail.ts'
 import { verdictOf } from '../../../core/pool/statements/verdict.ts'
 import type { Work } from '../../../core/pool/statements/work.ts'
-import type { Values } from '../../../core/session/values.ts'
+import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
 import { Token } from '../../../core/token.ts'
 import type { Attempt } from '../lending/attempt.ts'
@@ -26,10 +26,10 @@
   private newest = Token.zero
   private isOwnUnknown = false
 
-  private constructor (private readonly ctx: PoolContext, private readonly database: string, private readonly values: Values, private readonly key: KeyDigest | undefined, private readonly mayDetour: boolean, private readonly gone: AbortSignal) {}
+  private constructor (private readonly ctx: PoolContext, private readonly database: string, private readonly values: SessionState, private readonly key: KeyDigest | undefined, private readonly mayDetour: boolean, private readonly gone: AbortSignal) {}
 
   /** `values`: what the session has set and prepared, now and later. `key`: the caller's. `mayDetour`: whether other hosts may run its statements. `gone`: aborted once the caller has left. */
-  static create (ctx: PoolContext, database: string, values: Values, key: KeyDigest | undefined, mayDetour: boolean, gone: AbortSignal): Runner {
+  static create (ctx: PoolContext, database: string, values: SessionState, key: KeyDigest | undefined, mayDetour: boolean, gone: AbortSignal): Runner {
     return new Runner(ctx, database, values, key, mayDetour, gone)
   }
 
--- a/src/shell/pool/statements/session.ts
+++ b/src/shell/pool/statements/session.ts
@@ -6,7 +6,7 @@
 import { Trail } from '../../../core/pool/statements/trail.ts'
 import { Work } from '../../../core/pool/statements/work.ts'
 import type { KeyDigest } from '../../../core/pool/access/keydigest.ts'
-import { Values } from '../../../core/session/values.ts'
+import { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
 import type { Reply } from '../../../core/statement/reply.ts'
 import type { Statement } from '../../../core/statement/statement.ts'
@@ -32,7 +32,7 @@
 
 export class Session {
   private readonly id = randomBytes(ID_BYTES).toString('hex')
-  private readonly values = Values.empty()
+  private readonly values = SessionState.empty()
   private readonly runner: Runner
   private transaction: Transaction | undefined
   private idleTimer: NodeJS.Timeout | undefined
--- a/src/shell/pool/statements/tries.ts
+++ b/src/shell/pool/statements/tries.ts
@@ -7,7 +7,7 @@
 import type { Target } from '../../../core/pool/statements/target.ts'
 import type { Trail } from '../../../core/pool/statements/trail.ts'
 import type { Work } from '../../../core/pool/statements/work.ts'
-import type { Values } from '../../../core/session/values.ts'
+import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
 import type { Token } from '../../../core/token.ts'
 import type { Attempt } from '../lending/attempt.ts'
@@ -25,7 +25,7 @@
   readonly isInside: boolean
   /** The session's newest commit, and what it has set and prepared. */
   readonly own: Token
-  readonly values: Values
+  readonly values: SessionState
   /** The session's; undefined without one. */
   readonly key: KeyDigest | undefined
   /** Aborted once the caller has left. */
--- a/src/shell/pool/statements/tryall.ts
+++ b/src/shell/pool/statements/tryall.ts
@@ -71,7 +71,7 @@
     if (last.fault !== 'failed') last = once.refused
     if (last.cause === 'full') full.add(target.endpoint)
     if (once.kind === 'refused') return last
-    const next = once.kind === 'short' ? await waits[once.of](() => ctx.budget.mayRetry(clock.now())) : 'go'
+    const next = once.kind === 'short' ? await waits[once.of](() => ctx.budget.tryTakeRetry(clock.now())) : 'go'
     if (typeof next !== 'string') return { ...last, cause: next.cause }
   }
   return last
@@ -128,7 +128,7 @@
     return ended(ctx, answer, tries)
   }
   group.served(clock.now() - sentAt)
-  ctx.budget.succeeded()
+  ctx.budget.recordSuccess()
   return { kind: 'done', run: { answer, attempt } }
 }
 
@@ -148,7 +148,7 @@
   const refused: Refused = { fault: faultOf(ending), retryAfterMs: LEADERLESS_MS, cause: ending === 'busy' ? 'full' : undefined }
   // Being sent on by an endpoint that knows better costs no work there, so it takes nothing of the budget.
   const isFree = ending === 'behind' || ending === 'notPrimary'
-  return isFree || ctx.budget.mayRetry(clock.now()) ? { kind: 'elsewhere', refused } : { kind: 'short', of: 'forBudget', refused }
+  return isFree || ctx.budget.tryTakeRetry(clock.now()) ? { kind: 'elsewhere', refused } : { kind: 'short', of: 'forBudget', refused }
 }
 
 async function fetch (gate: Gate, { route, deadline }: Tries): Promise<Refused | undefined> {
--- a/src/shell/pool/succession/probes.ts
+++ b/src/shell/pool/succession/probes.ts
@@ -2,7 +2,7 @@
 
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { Command } from '../../../core/statement/command.ts'
-import type { EndpointStatus } from '../../../core/statement/status.ts'
+import type { EndpointStatus } from '../../../core/statement/endpointstatus.ts'
 import { clock } from '../clock.ts'
 import type { Dialer } from '../lending/dialer.ts'
 import type { DialFault } from '../lending/dialfault.ts'
--- a/src/shell/pool/succession/surveyall.ts
+++ b/src/shell/pool/succession/surveyall.ts
@@ -3,7 +3,7 @@
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { Term } from '../../../core/id/term.ts'
 import type { Command } from '../../../core/statement/command.ts'
-import type { EndpointStatus } from '../../../core/statement/status.ts'
+import type { EndpointStatus } from '../../../core/statement/endpointstatus.ts'
 import type { Log } from '../../log/log.ts'
 import type { PoolGroup } from '../group.ts'
 import type { Probes } from './probes.ts'
--- a/standin/endpoint/session.ts
+++ b/standin/endpoint/session.ts
@@ -1,8 +1,8 @@
 /** One connection to a stand-in endpoint: text queries, transactions and the verbs. */
 
 import { setTimeout as sleep } from 'node:timers/promises'
-import { statementKind } from '../../src/core/routing/statement.ts'
-import { skipBlank } from '../../src/core/routing/blank.ts'
+import { statementKind } from '../../src/core/routing/statementkind.ts'
+import { skipLeadingTrivia } from '../../src/core/routing/trivia.ts'
 import { Token } from '../../src/core/token.ts'
 import type { Handler } from '../../src/shell/mysql/handler.ts'
 import { OkPacket } from '../../src/shell/mysql/okpacket.ts'
@@ -201,7 +201,7 @@
 
 /** SQLite takes the statement itself, without MySQL's comments in front. */
 function plain (sql: string): string {
-  return skipBlank(sql)
+  return skipLeadingTrivia(sql)
 }
 
 function argsOf (text: string): readonly (string | number)[] {
