--- a/standin/fakegroup.ts
+++ b/standin/fakegroup.ts
@@ -10,11 +10,11 @@
 import type { SessionId } from '../src/core/id/session.ts'
 import type { Term } from '../src/core/id/term.ts'
 import { fingerprint } from '../src/core/session/fingerprint.ts'
-import { requiredToken } from '../src/core/session/required.ts'
-import { RecentWrites } from '../src/core/session/writes.ts'
+import { requiredToken } from '../src/core/session/requiredtoken.ts'
+import { RecentWrites } from '../src/core/session/recentwrites.ts'
 import { Token } from '../src/core/token.ts'
 import type { Freshness } from '../src/core/routing/freshness.ts'
-import { Marks } from '../src/core/routing/marks.ts'
+import { Watermarks } from '../src/core/routing/watermarks.ts'
 import { routeRead } from '../src/core/routing/route.ts'
 
 interface Entry {
@@ -36,7 +36,7 @@
 
 interface Proxy {
   group: Group
-  marks: Marks
+  marks: Watermarks
   writes: RecentWrites
   notes: Array<{ readonly term: number, readonly position: number, readonly session: string }>
 }
@@ -130,7 +130,7 @@
   notes (proxy: number, count: number, isLost: boolean): void {
     const { notes, writes } = this.proxies[proxy]!
     for (const { term, position, session } of notes.splice(0, count)) {
-      if (!isLost) writes.note(term as Term, position as Position, fingerprint(session as SessionId))
+      if (!isLost) writes.add(term as Term, position as Position, fingerprint(session as SessionId))
     }
   }
 
@@ -144,7 +144,7 @@
     const known = bringsToken ? this.tokens.get(session) ?? Token.zero : Token.zero
     const token = requiredToken({ group: proxy.group, known, bound, writes: proxy.writes, session: fingerprint(session as SessionId) })
     const route = routeRead({
-      group: proxy.group, freshness, token, marks: proxy.marks, near: new Set(), now: this.now as Instant, chance: 0, since: asked as Instant, isRefreshed: true, isNoteDue: false
+      group: proxy.group, freshness, token, watermarks: proxy.marks, near: new Set(), now: this.now as Instant, chance: 0, since: asked as Instant, isRefreshed: true, isWriteNoticePending: false
     })
     if (route.kind === 'lost') throw new Error(`an acknowledged write of ${session} is called lost`)
     if (route.kind === 'replica') {
@@ -202,7 +202,7 @@
   }
 
   private newProxy (): Proxy {
-    return { group: Group.of(GROUP, this.servers.map(one => one.id)), marks: Marks.empty, writes: RecentWrites.create(NOTES), notes: [] }
+    return { group: Group.of(GROUP, this.servers.map(one => one.id)), marks: Watermarks.empty, writes: RecentWrites.create(NOTES), notes: [] }
   }
 }
 
--- a/test/fuzz.test.ts
+++ b/test/fuzz.test.ts
@@ -7,12 +7,12 @@
 import { parseScript } from '../scenarios/language/parse.ts'
 import { Change } from '../src/core/config/change.ts'
 import { parseConfig } from '../src/core/config/document.ts'
-import { parseRecord } from '../src/core/config/record.ts'
+import { parseConfigRecord } from '../src/core/config/configrecord.ts'
 import type { ConfigVersion } from '../src/core/id/version.ts'
 import type { Json } from '../src/core/json.ts'
 import { Hints } from '../src/core/routing/hints.ts'
-import { placeholders } from '../src/core/routing/placeholders.ts'
-import { statementKind } from '../src/core/routing/statement.ts'
+import { findPlaceholders } from '../src/core/routing/placeholders.ts'
+import { statementKind } from '../src/core/routing/statementkind.ts'
 import { parseSettings } from '../src/core/settings/settings.ts'
 import { Token } from '../src/core/token.ts'
 import { BatchSchema } from '../src/gen/peer_pb.ts'
@@ -58,14 +58,14 @@
       (text: string) => only([TomlError], () => parseSettings(parse(text)))],
     ['settings as a document', document, (value: Json) => { parseSettings(value) }],
     ['a configuration', document, (value: Json) => { parseConfig(1 as ConfigVersion, value) }],
-    ['a record of the store', fc.oneof(fc.string(), fc.json()), (body: string) => { parseRecord(body) }],
+    ['a record of the store', fc.oneof(fc.string(), fc.json()), (body: string) => { parseConfigRecord(body) }],
     ['a change', fc.tuple(document, document), ([before, change]: [Json, Json]) => { Change.of(change).apply(before) }],
     ['the change between two', fc.tuple(document, document), ([before, after]: [Json, Json]) => { Change.between(before, after) }],
     ['a scenario', textOf('seed ', 'hosts ', 'groups ', 'run ', 'at ', 'from ', 'to ', 'expect ', 'kill ', 'load ', '5s ', '9', 'host-1 ', '\n', '#'), (text: string) => { parseScript(text) }],
     ['hints', sql, (text: string) => { Hints.parse(`/*${text}*/`) }],
     ['a token', textOf('1', ':', '99999999999999999', '-'), (text: string) => { Token.parse(text) }],
     ['a statement', sql, (text: string) => { statementKind(text) }],
-    ['parameters', sql, (text: string) => { placeholders(text) }],
+    ['parameters', sql, (text: string) => { findPlaceholders(text) }],
     ['values of a prepared statement', fc.tuple(sql, bytes), ([text, payload]: [string, Buffer]) => only([RangeError], () => PreparedStatement.of(1, `?${text}`).bind(payload))],
     ['rows', fc.tuple(fc.array(bytes, { maxLength: 3 }), bytes), ([columns, row]: [Buffer[], Buffer]) => only([RangeError], () => BinaryRows.of(columns).encode(row))],
     ['rows of each type', fc.tuple(fc.integer({ min: 0, max: 20 }), fc.string({ maxLength: 30 })), ([type, text]: [number, string]) =>
@@ -92,9 +92,9 @@
   // a pattern whose work grows with the square of the length stops everybody for minutes.
   it.each<[string, () => unknown]>([
     ['hints without a value', () => Hints.parse(`/*${'a'.repeat(LONG)}*/`)],
-    ['comments that never end', () => placeholders('/*'.repeat(LONG / 2))],
-    ['strings that never end', () => placeholders(`${"'\\".repeat(LONG / 2)}`)],
-    ['doubled quotes', () => placeholders(`'${"''".repeat(LONG / 2)}`)],
+    ['comments that never end', () => findPlaceholders('/*'.repeat(LONG / 2))],
+    ['strings that never end', () => findPlaceholders(`${"'\\".repeat(LONG / 2)}`)],
+    ['doubled quotes', () => findPlaceholders(`'${"''".repeat(LONG / 2)}`)],
     ['blanks and comments before a statement', () => statementKind(`${'/**/ '.repeat(LONG / 5)}/*`)],
     ['an OK packet that says it is longer than it is', () => {
       const payload = Buffer.from([0, 0, 0, 0, 0x40, 0, 0, 0, 254, 255, 255, 255, 255, 255, 255, 15, 0])
