--- a/bench/allowance/host.ts
+++ b/bench/allowance/host.ts
@@ -8,7 +8,7 @@
 import type { PoolHost } from '../../src/core/pool/placing/host.ts'
 import { Allowances } from '../../src/shell/pool/allowance/allowances.ts'
 import { PoolMetrics } from '../../src/shell/pool/metrics.ts'
-import type { TokenWay } from '../../src/shell/pool/allowance/tokenway.ts'
+import type { TokenTransport } from '../../src/shell/pool/allowance/tokentransport.ts'
 
 interface Surroundings {
   readonly now: () => number
@@ -20,7 +20,7 @@
   readonly trustMs: number
   readonly team: (id: TeamId) => Team | undefined
   readonly hosts: () => readonly PoolHost[]
-  readonly ask: (from: ModelHost, ...asked: Parameters<TokenWay['ask']>) => ReturnType<TokenWay['ask']>
+  readonly ask: (from: ModelHost, ...asked: Parameters<TokenTransport['ask']>) => ReturnType<TokenTransport['ask']>
   /** Planted breaches: takes its knowledge of the row for new, whatever its age; takes each start for the first of all. */
   readonly isCareless: boolean
   readonly isForgetful: boolean
@@ -35,7 +35,7 @@
   isCutFromStore = false
   /** Nothing passes between it and other hosts. */
   isAlone = false
-  answerer: Parameters<TokenWay['onAsked']>[0] = () => undefined
+  answerer: Parameters<TokenTransport['onRequest']>[0] = () => undefined
   allowances: Allowances
   private syncedAt = -Infinity
   private row = ''
@@ -70,7 +70,7 @@
     this.syncedAt = this.age
     if (row === this.row) return
     this.row = row
-    this.allowances.learnt(row)
+    this.allowances.updateIssuers(row)
   }
 
   freeze (): void {
@@ -105,7 +105,7 @@
       team,
       hosts,
       port: {
-        onAsked: answerer => { this.answerer = answerer },
+        onRequest: answerer => { this.answerer = answerer },
         ask: async (...asked) => await ask(this, ...asked)
       },
       metrics: PoolMetrics.create(),
@@ -113,8 +113,8 @@
       now: () => this.now,
       age: () => this.age,
       pause,
-      onBegun: places => { for (const place of places) onBegun(this, place) },
-      onAsked: () => undefined
+      onStarted: places => { for (const place of places) onBegun(this, place) },
+      onAskEnded: () => undefined
     })
   }
 }
--- a/bench/allowance/world.ts
+++ b/bench/allowance/world.ts
@@ -6,7 +6,7 @@
 import type { TeamId } from '../../src/core/id/team.ts'
 import { mix } from '../../src/core/mix.ts'
 import type { Team } from '../../src/core/pool/access/team.ts'
-import type { TokenWay } from '../../src/shell/pool/allowance/tokenway.ts'
+import type { TokenTransport } from '../../src/shell/pool/allowance/tokentransport.ts'
 import { Agenda } from '../load/agenda.ts'
 import { ModelHost } from './host.ts'
 
@@ -20,7 +20,7 @@
   readonly breach?: Breach
 }
 
-type Asked = Parameters<TokenWay['ask']>
+type Asked = Parameters<TokenTransport['ask']>
 
 const BOUNDS = { windowMs: 5000, overage: 0.1, slack: 20 }
 const TRUST_MS = 5600
@@ -186,7 +186,7 @@
     this.ran[team]!.push(this.agenda.now)
   }
 
-  private async ask (from: ModelHost, [to, { team, place, count }, timeoutMs]: Asked): ReturnType<TokenWay['ask']> {
+  private async ask (from: ModelHost, [to, { team, place, count }, timeoutMs]: Asked): ReturnType<TokenTransport['ask']> {
     const host = this.hosts.find(({ id }) => id === to.id)!
     return await new Promise(resolve => {
       this.agenda.add(timeoutMs, () => resolve(undefined))
--- a/src/shell/pool/allowance/allowances.test.ts
+++ b/src/shell/pool/allowance/allowances.test.ts
@@ -32,7 +32,7 @@
     team: () => TEAM,
     hosts: () => [ISSUER],
     port: {
-      onAsked: () => {},
+      onRequest: () => {},
       ask: async () => {
         await new Promise<void>(resolve => { setTimeout(resolve, ANSWER_MS) })
         return count === undefined ? undefined : { count, nextMs: 0 }
@@ -43,10 +43,10 @@
     now,
     age: now,
     pause: async ms => await new Promise(resolve => { setTimeout(resolve, ms) }),
-    onBegun: () => {},
-    onAsked: () => {}
+    onStarted: () => {},
+    onAskEnded: () => {}
   })
-  allowances.learnt(JSON.stringify([{ host: 'h1', term: 0 }]))
+  allowances.updateIssuers(JSON.stringify([{ host: 'h1', term: 0 }]))
   return allowances
 }
 
--- a/src/shell/pool/allowance/allowances.ts
+++ b/src/shell/pool/allowance/allowances.ts
@@ -15,7 +15,7 @@
 import type { Team } from '../../../core/pool/access/team.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 import type { PoolMetrics } from '../metrics.ts'
-import type { TokenWay } from './tokenway.ts'
+import type { TokenTransport } from './tokentransport.ts'
 
 interface Options {
   readonly self: HostId
@@ -29,7 +29,7 @@
   readonly ageMs: () => number
   readonly team: (id: TeamId) => Team | undefined
   readonly hosts: () => readonly PoolHost[]
-  readonly port: TokenWay
+  readonly port: TokenTransport
   readonly metrics: PoolMetrics
   readonly chance: () => number
   /**
@@ -40,16 +40,16 @@
   readonly age: () => Instant
   readonly pause: (ms: number) => Promise<void>
   /** Once: this process starts anew at places that were this host's before. */
-  readonly onBegun: (places: readonly number[]) => void
+  readonly onStarted: (places: readonly number[]) => void
   /** The host that should issue at the place answered, or didn't in time. */
-  readonly onAsked: (place: number, isAnswered: boolean) => void
+  readonly onAskEnded: (place: number, isAnswered: boolean) => void
 }
 
 interface Waiter {
   /** Until when it waits for a token that is known to come, */
   readonly until: Instant
   /** for one that isn't known not to come, */
-  readonly overdue: Instant
+  readonly overdueAt: Instant
   /** and for issuers that don't answer. */
   readonly last: Instant
   readonly answer: (taken: Result<Instant, number>) => void
@@ -71,19 +71,19 @@
 /** An issuer answers within milliseconds; one that is busy with a start within this. Then another place is asked. Milliseconds. */
 const ANSWER_MS = 100
 /** The least time to come back that a caller is told: a round trip. Milliseconds. */
-const LEAST_BACK_MS = 5
+const MIN_RETRY_MS = 5
 /** A host that asks at a place that holds none of the team's shards asks there again after so long: by then it has the newer configuration, as a rule. Milliseconds. */
-const ELSEWHERE_MS = 500
+const WRONG_PLACE_RETRY_MS = 500
 /** While some tokens come an operation waits for so many times its patience. */
-const OVERDUE = 2
+const OVERDUE_FACTOR = 2
 /** Operations a second; what a team without any is taken to get, for the time to come back. */
-const LEAST_RATE = 0.01
+const MIN_RATE_PER_SECOND = 0.01
 
 export class Allowances {
   private issuers: IssuerTable | undefined
   private mandate: IssuerLease
   /** Whether it was told that this process starts anew at places. */
-  private hasBegun = false
+  private hasStarted = false
   private readonly issuer = TokenIssuer.create()
   private readonly silence = IssuerBackOff.create()
   private readonly accounts = new Map<TeamId, Account>()
@@ -92,7 +92,7 @@
   private constructor (private readonly options: Options) {
     const { self, trustMs, isFirstStart, bornAt, port } = options
     this.mandate = IssuerLease.none({ self, leaseMs: trustMs, isFirstStart, processStartedAt: bornAt })
-    port.onAsked((team, place, count) => this.issue(team, place, count))
+    port.onRequest((team, place, count) => this.issue(team, place, count))
   }
 
   static create (options: Options): Allowances {
@@ -100,16 +100,16 @@
   }
 
   /** The shared row says who issues. */
-  learnt (text: string): void {
+  updateIssuers (text: string): void {
     const issuers = IssuerTable.decode(text)
     if (issuers === undefined) return
     this.issuers = issuers
     this.mandate = this.mandate.withTable(issuers, this.options.now())
     for (const [id, { tokens }] of this.accounts) tokens.setPlaces(this.placesOf(this.options.team(id)))
-    const begun = this.hasBegun ? [] : this.mandate.restartedPlaces()
+    const begun = this.hasStarted ? [] : this.mandate.restartedPlaces()
     if (begun.length === 0) return
-    this.hasBegun = true
-    this.options.onBegun(begun)
+    this.hasStarted = true
+    this.options.onStarted(begun)
   }
 
   /** The place was started anew for the first time in a window: its buckets began with their credit. */
@@ -132,18 +132,18 @@
     }
     return await new Promise(resolve => {
       const now = this.options.age()
-      account.waiting.push({ until: now + patienceMs as Instant, overdue: now + OVERDUE * patienceMs as Instant, last: now + mostMs as Instant, answer: resolve })
+      account.waiting.push({ until: now + patienceMs as Instant, overdueAt: now + OVERDUE_FACTOR * patienceMs as Instant, last: now + mostMs as Instant, answer: resolve })
       if (!account.isAsking) this.ask(team, account)
       else if (account.freeAt > now) this.refuseLate(team, account)
     })
   }
 
   /** One that is in hand; undefined when there is none. */
-  takeNow (team: Team): Instant | undefined {
+  takeAvailable (team: Team): Instant | undefined {
     return this.accountOf(team).tokens.take(this.options.age())
   }
 
-  putBack ({ id }: Team, token: Instant): void {
+  returnToken ({ id }: Team, token: Instant): void {
     this.accounts.get(id)?.tokens.putBack(token)
   }
 
@@ -187,7 +187,7 @@
         account.freeAt = now + next.ms as Instant
         account.isSilent = next.isSilent
         this.refuseLate(team, account)
-        if (waiting.length > 0) await this.options.pause(Math.max(LEAST_BACK_MS, next.ms))
+        if (waiting.length > 0) await this.options.pause(Math.max(MIN_RETRY_MS, next.ms))
       } else {
         const isAnswered = await this.askAt(next.place, next.count, team, account, lifetimeMs)
         this.serve(account)
@@ -199,7 +199,7 @@
 
   /** Resolves with whether the place answered. */
   private async askAt (place: number, count: number, team: Team, { tokens }: Account, lifetimeMs: number): Promise<boolean> {
-    const { hosts, port, metrics, onAsked } = this.options
+    const { hosts, port, metrics, onAskEnded: onAsked } = this.options
     const askedAt = this.options.age()
     const host = hosts().find(({ id }) => id === this.issuers?.hostAt(place))
     const answer = host === undefined ? undefined : await port.ask(host, { team: team.id, place, count }, ANSWER_MS)
@@ -228,22 +228,22 @@
    */
   private refuseOverdue ({ rate }: Team, account: Account, isAnswered: boolean): void {
     const now = this.options.age()
-    const overdue = account.waiting.filter(({ overdue, last }) => now > (isAnswered ? overdue : last))
+    const overdue = account.waiting.filter(({ overdueAt: overdue, last }) => now > (isAnswered ? overdue : last))
     if (overdue.length === 0) return
     account.waiting.splice(0, account.waiting.length, ...account.waiting.filter(one => !overdue.includes(one)))
-    const perTokenMs = 1000 / Math.max(rate?.perSecond ?? 0, LEAST_RATE)
-    for (const [i, { answer }] of overdue.entries()) answer(err(Math.max(LEAST_BACK_MS, Math.ceil((account.waiting.length + i) * perTokenMs))))
+    const perTokenMs = 1000 / Math.max(rate?.perSecond ?? 0, MIN_RATE_PER_SECOND)
+    for (const [i, { answer }] of overdue.entries()) answer(err(Math.max(MIN_RETRY_MS, Math.ceil((account.waiting.length + i) * perTokenMs))))
   }
 
   /** Refuses those whose turn is known to come too late: the one behind so many others waits for as many tokens. */
   private refuseLate ({ rate }: Team, account: Account): void {
     const { waiting, freeAt, isSilent } = account
     const now = this.options.age()
-    const perTokenMs = 1000 / Math.max(rate!.perSecond, LEAST_RATE)
+    const perTokenMs = 1000 / Math.max(rate!.perSecond, MIN_RATE_PER_SECOND)
     const freeMs = Math.max(0, freeAt - now)
     const late = waiting.filter(({ until, last }, i) => now + freeMs + (isSilent ? 0 : i * perTokenMs) > (isSilent ? last : until))
     account.waiting.splice(0, waiting.length, ...waiting.filter(one => !late.includes(one)))
-    for (const [i, { answer }] of late.entries()) answer(err(Math.max(LEAST_BACK_MS, Math.ceil(freeMs + (account.waiting.length + i) * perTokenMs))))
+    for (const [i, { answer }] of late.entries()) answer(err(Math.max(MIN_RETRY_MS, Math.ceil(freeMs + (account.waiting.length + i) * perTokenMs))))
   }
 
   /** What another host asked of this one; undefined when this one may not issue there. */
@@ -253,7 +253,7 @@
     const team = this.options.team(id)
     if (since === undefined || team?.rate === undefined) return undefined
     // A host with another version of the configuration may take the place for one of the team's. It gets an answer, so that it doesn't take this host for silent.
-    if (!this.placesOf(team).includes(place)) return { count: 0, nextMs: ELSEWHERE_MS }
+    if (!this.placesOf(team).includes(place)) return { count: 0, nextMs: WRONG_PLACE_RETRY_MS }
     return this.issuer.issue({ place, team: id, count, shard: this.shardOf(team.rate), since }, now)
   }
 }
--- a/src/shell/pool/allowance/issuing.ts
+++ b/src/shell/pool/allowance/allowanceservice.ts
@@ -10,17 +10,17 @@
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 import type { Log } from '../../log/log.ts'
 import { clock } from '../clock.ts'
-import type { RowStore } from '../membership/rows.ts'
+import type { RowStore } from '../membership/rowstore.ts'
 import type { PoolMetrics } from '../metrics.ts'
 import { Allowances } from './allowances.ts'
-import { Appointments } from './appointments.ts'
-import { Starts } from './starts.ts'
-import type { TokenWay } from './tokenway.ts'
+import { IssuerRegistry } from './issuerregistry.ts'
+import { IssuerStarts } from './issuerstarts.ts'
+import type { TokenTransport } from './tokentransport.ts'
 
 interface Options {
   readonly self: HostId
   readonly bounds: AllowanceBounds
-  readonly port: TokenWay
+  readonly port: TokenTransport
   readonly isFirstStart: boolean
   /** Nothing is issued on older knowledge of who issues; milliseconds. */
   readonly trustMs: number
@@ -40,14 +40,14 @@
 /** When hosts began to issue tokens. */
 const STARTS_TABLE = 'agatepond-starts'
 
-export class Issuing {
+export class AllowanceService {
   readonly allowances: Allowances
-  private readonly appointments: Appointments
+  private readonly issuers: IssuerRegistry
 
   private constructor (options: Options) {
     const { store, bounds, metrics, signal } = options
-    const starts = Starts.create({ store, table: STARTS_TABLE, windowMs: bounds.windowMs, metrics, signal })
-    this.appointments = Appointments.create(options)
+    const starts = IssuerStarts.create({ store, table: STARTS_TABLE, windowMs: bounds.windowMs, metrics, signal })
+    this.issuers = IssuerRegistry.create(options)
     this.allowances = Allowances.create({
       ...options,
       // The monotonic clock begins with the process.
@@ -55,26 +55,26 @@
       now: clock.now,
       age: clock.age,
       pause,
-      onBegun: places => {
+      onStarted: places => {
         starts.claim(places).then(free => free.forEach(place => this.allowances.credit(place)))
       },
-      onAsked: (place, isAnswered) => isAnswered ? this.appointments.answered(place) : this.appointments.silent(place)
+      onAskEnded: (place, isAnswered) => isAnswered ? this.issuers.answered(place) : this.issuers.silent(place)
     })
   }
 
-  static create (options: Options): Issuing {
-    return new Issuing(options)
+  static create (options: Options): AllowanceService {
+    return new AllowanceService(options)
   }
 
   /** A row of the shared table. */
-  told (row: Row): void {
-    if (row.key !== Appointments.key) return
-    this.appointments.learnt(row)
-    if (row.value !== undefined) this.allowances.learnt(row.value)
+  applySharedRow (row: Row): void {
+    if (row.key !== IssuerRegistry.key) return
+    this.issuers.update(row)
+    if (row.value !== undefined) this.allowances.updateIssuers(row.value)
   }
 
   /** Looks whether the hosts that issue are there. */
-  look (): void {
-    this.appointments.look()
+  tick (): void {
+    this.issuers.tick()
   }
 }
--- a/src/shell/pool/allowance/appointments.ts
+++ b/src/shell/pool/allowance/issuerregistry.ts
@@ -6,7 +6,7 @@
 import type { Row } from '../../../core/pool/membership/row.ts'
 import type { Log } from '../../log/log.ts'
 import { clock } from '../clock.ts'
-import type { RowStore } from '../membership/rows.ts'
+import type { RowStore } from '../membership/rowstore.ts'
 import type { PoolMetrics } from '../metrics.ts'
 
 interface Options {
@@ -24,13 +24,13 @@
 /** The key of the row. */
 const KEY = 'issuers'
 /** Hosts that start together are all known after this. Milliseconds. */
-const FIRST_MS = 2000
+const FIRST_ISSUERS_MS = 2000
 /** The next in the order writes the first row so much later. Milliseconds. */
 const TURN_MS = 1000
 /** A process that is started again is back before this, and goes on issuing in its place. Milliseconds. */
 const GONE_MS = 5000
 
-export class Appointments {
+export class IssuerRegistry {
   static readonly key = KEY
   private version = 0
   private changedAt: Instant
@@ -43,12 +43,12 @@
     this.changedAt = clock.now()
   }
 
-  static create (options: Options): Appointments {
-    return new Appointments(options)
+  static create (options: Options): IssuerRegistry {
+    return new IssuerRegistry(options)
   }
 
   /** The row is known in a new version. */
-  learnt ({ version, value }: Row): void {
+  update ({ version, value }: Row): void {
     this.version = value === undefined ? 0 : version
     this.issuers = value === undefined ? undefined : IssuerTable.decode(value)
     this.changedAt = clock.now()
@@ -64,10 +64,10 @@
   }
 
   /** Called now and then while teams have allowances and the shared table is known. */
-  look (): void {
+  tick (): void {
     if (this.isWriting) return
     const now = clock.now()
-    if (this.issuers === undefined) return this.appointFirst(now)
+    if (this.issuers === undefined) return this.nameFirst(now)
     // Whoever was named last may still be waiting, and can't answer yet.
     if (now - this.changedAt < this.options.trustMs + GONE_MS) return
     const gone = [...this.silentSince].find(([, since]) => now - since >= GONE_MS)
@@ -80,9 +80,9 @@
     return this.options.hosts().map(({ id }) => id)
   }
 
-  private appointFirst (now: Instant): void {
+  private nameFirst (now: Instant): void {
     const turn = [...this.hosts].sort().indexOf(this.options.self)
-    if (now - this.changedAt >= FIRST_MS + TURN_MS * turn) this.write(IssuerTable.initial(this.hosts))
+    if (now - this.changedAt >= FIRST_ISSUERS_MS + TURN_MS * turn) this.write(IssuerTable.initial(this.hosts))
   }
 
   private async write (issuers: IssuerTable): Promise<void> {
--- a/src/shell/pool/allowance/tokenport.ts
+++ b/src/shell/pool/allowance/tokenport.ts
@@ -6,10 +6,10 @@
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 import { readJson } from '../../../core/readjson.ts'
 import type { Log } from '../../log/log.ts'
-import type { TokenWay } from './tokenway.ts'
+import type { TokenTransport } from './tokentransport.ts'
 
-type Issued = NonNullable<Awaited<ReturnType<TokenWay['ask']>>>
-type Answerer = Parameters<TokenWay['onAsked']>[0]
+type TokenGrant = NonNullable<Awaited<ReturnType<TokenTransport['ask']>>>
+type RequestHandler = Parameters<TokenTransport['onRequest']>[0]
 
 const questionShape = z.object({ ask: z.int(), team: z.string(), place: z.int().nonnegative(), count: z.int().positive() })
 const answerShape = z.object({ answer: z.int(), count: z.int().nonnegative(), nextMs: z.number() })
@@ -20,9 +20,9 @@
  * Datagrams, in place of a stream for each pair of hosts: a question and its answer are a few dozen bytes, one that is lost is asked
  * elsewhere, and one that comes late is known by its number and does no harm.
  */
-export class TokenPort implements TokenWay {
-  private readonly open = new Map<number, (answer: Issued | undefined) => void>()
-  private answerer: Answerer = () => undefined
+export class TokenPort implements TokenTransport {
+  private readonly open = new Map<number, (answer: TokenGrant | undefined) => void>()
+  private handler: RequestHandler = () => undefined
   private number = 0
 
   private constructor (private readonly socket: Socket, log: Log) {
@@ -37,14 +37,14 @@
     return new TokenPort(socket, log)
   }
 
-  onAsked (answerer: Answerer): void {
-    this.answerer = answerer
+  onRequest (answerer: RequestHandler): void {
+    this.handler = answerer
   }
 
-  async ask ({ address }: PoolHost, { team, place, count }: Parameters<TokenWay['ask']>[1], timeoutMs: number): Promise<Issued | undefined> {
+  async ask ({ address }: PoolHost, { team, place, count }: Parameters<TokenTransport['ask']>[1], timeoutMs: number): Promise<TokenGrant | undefined> {
     const ask = ++this.number
     return await new Promise(resolve => {
-      const end = (answer: Issued | undefined) => {
+      const end = (answer: TokenGrant | undefined) => {
         clearTimeout(timer)
         this.open.delete(ask)
         resolve(answer)
@@ -62,7 +62,7 @@
     const question = questionShape.safeParse(json)
     if (!question.success) return
     const { ask, team, place, count } = question.data
-    const issued = this.answerer(team as TeamId, place, count)
+    const issued = this.handler(team as TeamId, place, count)
     if (issued !== undefined) this.send({ answer: ask, count: issued.count, nextMs: Math.min(NEVER_MS, issued.nextMs) }, { ip: from.address, port: from.port })
   }
 
--- a/src/shell/pool/allowance/tokenway.ts
+++ b/src/shell/pool/allowance/tokentransport.ts
@@ -3,21 +3,21 @@
 import type { TeamId } from '../../../core/id/team.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 
-interface Asked {
+interface TokenRequest {
   readonly team: TeamId
   readonly place: number
   readonly count: number
 }
 
-interface Issued {
+interface TokenGrant {
   readonly count: number
   /** Milliseconds until there is another token. */
   readonly nextMs: number
 }
 
-export interface TokenWay {
+export interface TokenTransport {
   /** Who answers what other hosts ask; with undefined nothing is sent. */
-  onAsked (answerer: (team: TeamId, place: number, count: number) => Issued | undefined): void
+  onRequest (answerer: (team: TeamId, place: number, count: number) => TokenGrant | undefined): void
   /** Resolves with the answer, or with undefined when none came in time. */
-  ask (host: PoolHost, asked: Asked, timeoutMs: number): Promise<Issued | undefined>
+  ask (host: PoolHost, asked: TokenRequest, timeoutMs: number): Promise<TokenGrant | undefined>
 }
--- a/src/shell/pool/context.ts
+++ b/src/shell/pool/context.ts
@@ -22,23 +22,23 @@
   /** Resolves once the process knows its configuration and its endpoints, or with false after the time. */
   readonly whenReady: (ms: number) => Promise<boolean>
   /** Resolves once this host has at least the version, or can't get it from the host that has. */
-  readonly catchUp: (version: number, host: string) => Promise<void>
+  readonly catchUpConfig: (version: number, host: string) => Promise<void>
   readonly self: HostId
   /** Whether statements on the route may go out for the holder of the key, by what this host knows now. */
   readonly permission: (route: Route, key: KeyDigest | undefined) => ReturnType<typeof permissionOf>
   /** Undefined where teams have none. */
   readonly allowances: Allowances | undefined
   /** Hosts that have connections for the database and the holder of the key, the best first; empty when this host serves it itself. */
-  readonly placesFor: (database: string, key?: KeyDigest) => readonly PoolHost[]
+  readonly forwardingTargets: (database: string, key?: KeyDigest) => readonly PoolHost[]
   /** The host couldn't be reached, or ended with statements open. */
-  readonly missedHost: (id: HostId) => void
+  readonly reportUnreachableHost: (id: HostId) => void
   /** Opens a connection to a host that reaches an endpoint of the database. */
   readonly dialHost: (host: PoolHost, database: string, key: KeyDigest | undefined, timeoutMs: number) => ReturnType<Dialer['dialHost']>
   readonly group: (id: GroupId) => PoolGroup | undefined
-  readonly budget: SharedRetryBudget
+  readonly retryBudget: SharedRetryBudget
   readonly log: Log
   /** For lines of requests. */
-  readonly lines: LineBudget
+  readonly lineBudget: LineBudget
   readonly metrics: PoolMetrics
   /** Undefined when the operator wants no records. */
   readonly auditor: Auditor | undefined
--- a/src/shell/pool/succession/successor.ts
+++ b/src/shell/pool/failover/failovercontroller.ts
@@ -32,7 +32,7 @@
   /** Hosts that are alive. */
   readonly hosts: () => readonly PoolHost[]
   /** The same, in the order in which they act. */
-  readonly turns: () => readonly HostId[]
+  readonly failoverOrder: () => readonly HostId[]
   /** Milliseconds for which an endpoint serves after it said that it leaves. */
   readonly drainMs: number
   /** Whether a commit waits for a replica, so that the successor must hold what any replica acknowledged. */
@@ -47,7 +47,7 @@
 const CATCH_UP_SHARE = 0.25
 
 /** Half of the least time that hosts have to object. */
-const OBJECT_MS = 100
+const OBJECTION_SPREAD_MS = 100
 
 type Promote = Extract<SuccessionAction, { kind: 'promote' }>
 type Survey = Extract<SuccessionAction, { kind: 'survey' }>
@@ -56,7 +56,7 @@
 const handoverShape = z.object({ old: z.string(), successor: z.string() })
 const objectionShape = z.object({ fence: z.number(), endpoint: z.string() })
 
-export class Successor {
+export class FailoverController {
   private succession = Succession.create(clock.now())
   private lease: Lease | undefined
   private readonly probing = new Set<EndpointId>()
@@ -68,24 +68,24 @@
     this.probes = Probes.create(options.group, options.platform.dialer)
   }
 
-  static create (options: Options): Successor {
-    return new Successor(options)
+  static create (options: Options): FailoverController {
+    return new FailoverController(options)
   }
 
   /** To be called every tenth of a second or so. */
   tick (): void {
     const { group } = this.options
-    for (const { id } of group.known) {
+    for (const { id } of group.knownEndpoints) {
       if (!this.probing.has(id) && group.contact(id).isDoubtful(clock.now())) this.settleDoubt(id)
     }
-    if (!this.succession.isCalm || !this.isWell) this.step({ kind: 'tick' })
+    if (!this.succession.isCalm || !this.isHealthy) this.step({ kind: 'tick' })
   }
 
   /** Whether there is nothing to judge: nearly always, so it's looked at before the view is put together. */
-  private get isWell (): boolean {
+  private get isHealthy (): boolean {
     const { group } = this.options
     const listed = group.leader === undefined ? undefined : group.endpoint(group.leader)
-    return listed !== undefined && !listed.isLeaving && !group.isLeaderOut()
+    return listed !== undefined && !listed.isLeaving && !group.isLeaderUnreachable()
   }
 
   /** A row of the shared table under this group's name. */
@@ -94,7 +94,7 @@
     if (parsed?.success !== true || (this.lease !== undefined && version <= this.lease.version)) return
     const { holder, asksFor } = parsed.data
     this.lease = Lease.of({ holder: holder as HostId, asksFor: asksFor as EndpointId | undefined, version, seenAt: clock.age() })
-    this.options.group.outage.claimed(version)
+    this.options.group.outage.recordClaim(version)
     if (this.lease.asksFor !== undefined && holder !== this.options.host) this.considerObjection(this.lease.asksFor, version)
   }
 
@@ -104,8 +104,8 @@
     const { fence, endpoint } = objection
     this.objectedTo = Math.max(this.objectedTo, fence)
     const host = this.options.hosts().find(({ id }) => key.endsWith(`/${id}`))
-    if (host !== undefined && host.id !== this.options.host) this.options.group.reachedBy(endpoint, host)
-    this.options.group.outage.halted()
+    if (host !== undefined && host.id !== this.options.host) this.options.group.recordReachableVia(endpoint, host)
+    this.options.group.outage.cancelExpectation()
     this.step({ kind: 'objected', fence })
   }
 
@@ -113,11 +113,11 @@
     const parsed = handoverShape.safeParse(value === undefined ? undefined : readJson(value))
     if (!parsed.success) return
     const { old, successor } = parsed.data
-    this.options.group.handOver(Handover.of({ old: old as EndpointId, successor: successor as EndpointId }))
+    this.options.group.setHandover(Handover.of({ old: old as EndpointId, successor: successor as EndpointId }))
   }
 
   private get view (): SuccessionView {
-    const { group, host, turns, drainMs } = this.options
+    const { group, host, failoverOrder: turns, drainMs } = this.options
     const { leader, endpoints } = group
     const now = clock.age()
     const listed = leader === undefined ? undefined : group.endpoint(leader)
@@ -148,7 +148,7 @@
       case 'survey': return this.survey(action, this.options.isSynchronous())
       case 'look': return this.survey({ old: action.old, isHandover: false }, false)
       case 'promote': return this.promote(action)
-      case 'found': return this.options.group.claimed(action.endpoint, action.term)
+      case 'found': return this.options.group.recordLeaderClaim(action.endpoint, action.term)
       case 'giveUp': return this.resumeAll()
     }
   }
@@ -160,9 +160,9 @@
     const began = clock.now()
     platform.store.change([change], signal).then(changed => {
       log.write('leaseClaimed', { group: group.id, cause, isTaken: changed.isOk(), fence: changed.unwrapOr(0), leader: group.leader ?? 'none' })
-      if (changed.isErr() && changed.error !== 'conflict') group.outage.halted()
+      if (changed.isErr() && changed.error !== 'conflict') group.outage.cancelExpectation()
       if (changed.isErr()) return this.step({ kind: 'claimLost' })
-      group.outage.claimed(changed.value)
+      group.outage.recordClaim(changed.value)
       this.lease = Lease.of({ holder: host, asksFor, version: changed.value, seenAt: clock.age() })
       this.step({ kind: 'claimed', fence: changed.value, tookMs: clock.now() - began })
     })
@@ -173,7 +173,7 @@
     metrics.storeCalls.inc({ call: 'read', table: 'shared', why: 'objections' })
     platform.store.read(table, signal, `objection/${group.id}/`).then(read => {
       if (read.isErr()) {
-        group.outage.halted()
+        group.outage.cancelExpectation()
         return this.step({ kind: 'claimLost' })
       }
       const objections = read.value.rows.filter(({ value }) => objectionOf(value)?.fence === fence)
@@ -205,7 +205,7 @@
     metrics.storeCalls.inc({ call: 'write', table: 'shared', why: 'handover' })
     const value = JSON.stringify({ old: handsOver, successor: endpoint })
     const changed = await platform.store.change([{ table, key: `handover/${group.id}`, value }], signal)
-    if (changed.isOk()) group.handOver(Handover.of({ old: handsOver, successor: endpoint }))
+    if (changed.isOk()) group.setHandover(Handover.of({ old: handsOver, successor: endpoint }))
     return changed.isOk()
   }
 
@@ -224,7 +224,7 @@
 
   private settleDoubt (id: EndpointId): void {
     this.probing.add(id)
-    this.probes.leads(id).then(() => {
+    this.probes.proveLeader(id).then(() => {
       this.probing.delete(id)
       this.step({ kind: 'tick' })
     })
@@ -238,11 +238,11 @@
    * One objection is enough, and a few let the others share the way: with many hosts they speak in turn, and those who have heard one are silent.
    */
   private async considerObjection (endpoint: EndpointId, fence: number): Promise<void> {
-    const { group, host, turns, platform, table, log, metrics, signal } = this.options
+    const { group, host, failoverOrder: turns, platform, table, log, metrics, signal } = this.options
     const order = turns()
-    await pause(OBJECT_MS * Math.max(0, order.indexOf(host)) / Math.max(1, order.length), undefined, { signal }).catch(() => 'the process ends')
+    await pause(OBJECTION_SPREAD_MS * Math.max(0, order.indexOf(host)) / Math.max(1, order.length), undefined, { signal }).catch(() => 'the process ends')
     if (signal.aborted || this.objectedTo >= fence) return
-    this.probes.leads(endpoint).then(isThere => {
+    this.probes.proveLeader(endpoint).then(isThere => {
       if (!isThere || group.leader !== endpoint) return
       log.write('objected', { group: group.id, endpoint, fence })
       metrics.storeCalls.inc({ call: 'write', table: 'shared', why: 'objection' })
--- a/src/shell/pool/succession/outage.ts
+++ b/src/shell/pool/failover/outage.ts
@@ -12,7 +12,7 @@
   private readonly waiters = Waiters.create()
   private count = 0
   /** What the log was told of this outage. */
-  private told: 'nothing' | 'awaited' | 'unexpected' = 'nothing'
+  private logged: 'nothing' | 'awaited' | 'unexpected' = 'nothing'
 
   private constructor (private readonly group: GroupId, private readonly log: Log) {}
 
@@ -37,18 +37,18 @@
   }
 
   /** Another endpoint leads. */
-  replaced (): void {
+  recordReplaced (): void {
     this.expectation = this.expectation.replaced(clock.now())
     this.wake()
   }
 
   /** A host claimed the lease under the fence. */
-  claimed (fence: number): void {
+  recordClaim (fence: number): void {
     this.expectation = this.expectation.claimed(fence, clock.now())
   }
 
   /** No promotion follows, as far as this host knows. */
-  halted (): void {
+  cancelExpectation (): void {
     this.expectation = this.expectation.halted()
     this.waiters.wake()
   }
@@ -60,20 +60,20 @@
   }
 
   /** A statement waits on, `ms` being what is expected; undefined: one that waited was refused since nothing is. At most two lines an outage, however many wait. */
-  tell (ms: number | undefined): void {
-    const { group, count, log, told } = this
+  logWait (ms: number | undefined): void {
+    const { group, count, log, logged: told } = this
     if (ms !== undefined && told === 'nothing') {
-      this.told = 'awaited'
+      this.logged = 'awaited'
       log.write('primaryAwaited', { group, expectedMs: Math.round(ms) })
     }
     if (ms === undefined && told === 'awaited') {
-      this.told = 'unexpected'
+      this.logged = 'unexpected'
       log.write('primaryUnexpected', { group, waiting: count })
     }
   }
 
   /** One more waits, until the returned function is called. */
-  enter (): () => void {
+  addWaiting (): () => void {
     this.count++
     return () => { this.count-- }
   }
@@ -84,7 +84,7 @@
   }
 
   private wake (): void {
-    this.told = 'nothing'
+    this.logged = 'nothing'
     this.waiters.wake()
   }
 }
--- a/src/shell/pool/succession/probes.ts
+++ b/src/shell/pool/failover/probes.ts
@@ -21,22 +21,22 @@
   }
 
   /** Whether the endpoint proves on a new connection that it leads; connections in use may be silent while new ones work. */
-  async leads (id: EndpointId): Promise<boolean> {
+  async proveLeader (id: EndpointId): Promise<boolean> {
     const { group, dialer } = this
-    const endpoint = group.endpoint(id) ?? group.lender(id)?.endpoint
+    const endpoint = group.endpoint(id) ?? group.connectionPool(id)?.endpoint
     const dialled = endpoint === undefined ? undefined : await dialer.dial(endpoint, undefined, PROBE_MS)
     if (dialled === undefined || dialled.isErr()) {
-      return this.noConnection(id, dialled?.isErr() === true ? dialled.error : 'unreachable')
+      return this.handleDialFault(id, dialled?.isErr() === true ? dialled.error : 'unreachable')
     }
     const { answers } = await dialled.value.ask([{ kind: 'begin', isReadOnly: false }], PROBE_MS)
     dialled.value.close()
     const [answer] = answers
     if (answer === undefined) {
-      group.missed(id)
+      group.recordNoAnswer(id)
       return false
     }
     group.answered(id, answer.position, answer.sentAt, answer.fault === undefined)
-    if (answer.fault === 'notPrimary') group.notPrimary(id)
+    if (answer.fault === 'notPrimary') group.recordNotPrimary(id)
     return answer.fault === undefined
   }
 
@@ -45,11 +45,11 @@
    * left: it turns probes away, with or without a word. One that answered
    * lately, on connections in use, is then taken to be full and not dead.
    */
-  private noConnection (id: EndpointId, fault: DialFault): boolean {
+  private handleDialFault (id: EndpointId, fault: DialFault): boolean {
     const { group } = this
     if (fault === 'tooManyConnections') group.answered(id, undefined, clock.age(), false)
     const isFull = fault === 'tooManyConnections' || (fault === 'turnedAway' && group.contact(id).isFresh(FULL_MS, clock.now()))
-    if (!isFull) group.missed(id)
+    if (!isFull) group.recordNoAnswer(id)
     return isFull
   }
 
--- a/src/shell/pool/group.ts
+++ b/src/shell/pool/group.ts
@@ -26,14 +26,14 @@
 import type { Log } from '../log/log.ts'
 import { clock } from './clock.ts'
 import type { Dialer } from './lending/dialer.ts'
-import type { Dealt } from './lending/dealt.ts'
+import type { EndpointShare } from './lending/endpointshare.ts'
 import type { DialFault } from './lending/dialfault.ts'
-import { Lender } from './lending/lender.ts'
+import { ConnectionPool } from './lending/connectionpool.ts'
 import { SharedLoad } from './load/sharedload.ts'
 import { Places } from './lending/places.ts'
-import { GroupReads } from './groupreads.ts'
+import { ReadRouter } from './readrouter.ts'
 import type { PoolMetrics } from './metrics.ts'
-import { Outage } from './succession/outage.ts'
+import { Outage } from './failover/outage.ts'
 import { Watchers } from './watchers.ts'
 
 const PATIENT = Patient.create()
@@ -51,27 +51,27 @@
 }
 
 /** An endpoint that this host has no connections to. */
-const UNUSED: Lender['seen'] = { connections: 0, atWork: 0, waiting: [] }
+const NO_CONNECTIONS: ConnectionPool['stats'] = { connections: 0, atWork: 0, waiting: [] }
 
 /** The only place where the group's pure values are replaced. */
 export class PoolGroup {
-  private readonly lenders = new Map<EndpointId, Lender>()
+  private readonly connectionPools = new Map<EndpointId, ConnectionPool>()
   private readonly standings = new Map<EndpointId, Standing>()
   private readonly contacts = new Map<EndpointId, Contact>()
   /** Where reads go. */
-  readonly reads: GroupReads
+  readonly readRouter: ReadRouter
   /** Endpoints that were logged as out of reach. */
   private readonly unreached = new Set<EndpointId>()
   private directory: Directory = Endpoints.empty
   private leadership: Leadership
   private progress = Progress.empty
-  private dealt: Dealt = { connections: 1, isOwner: false, hasRoom: false, others: [] }
+  private share: EndpointShare = { connections: 1, isOwner: false, hasRoom: false, otherOwners: [] }
   /** The newest that was announced; an old one concerns an endpoint that doesn't lead any more. */
   private handover: Handover | undefined
   private reach = Reach.none
   private readonly service = ServiceTime.create()
   /** Who asked what of it lately. */
-  readonly use = GroupUse.create(clock.now())
+  readonly usage = GroupUse.create(clock.now())
   /** For those who wait for a leader. */
   readonly outage: Outage
   /** What the other owners have at the endpoints. */
@@ -82,8 +82,8 @@
   private constructor (private readonly options: Options) {
     this.leadership = Leadership.create(options.id, clock.now())
     this.outage = Outage.create(options.id, options.log)
-    this.reads = GroupReads.create(options, () => this.readsView())
-    this.reads.takeOthers(this.sharedLoad)
+    this.readRouter = ReadRouter.create(options, () => this.readsView())
+    this.readRouter.setOthersLoad(this.sharedLoad)
   }
 
   static create (options: Options): PoolGroup {
@@ -107,20 +107,20 @@
   }
 
   /** Endpoints that are listed, and the leader also when it isn't. */
-  get known (): ReadonlyArray<Pick<Endpoint, 'id'>> {
+  get knownEndpoints (): ReadonlyArray<Pick<Endpoint, 'id'>> {
     const { leader, endpoints } = this
     const isListed = leader === undefined || endpoints.some(({ id }) => id === leader)
     return isListed ? endpoints : [...endpoints, { id: leader }]
   }
 
   get isOwned (): boolean {
-    return this.dealt.isOwner
+    return this.share.isOwner
   }
 
   /** What this host has at each endpoint, for operators. */
-  get seen (): LoadPicture['groups'][number]['endpoints'] {
+  get endpointStats (): LoadPicture['groups'][number]['endpoints'] {
     return this.endpoints.map(({ id, isLeaving, places }) => {
-      const { connections, atWork, waiting } = this.lenders.get(id)?.seen ?? UNUSED
+      const { connections, atWork, waiting } = this.connectionPools.get(id)?.stats ?? NO_CONNECTIONS
       return { endpoint: id, isPrimary: id === this.leader, isLeaving, places, connections, atWork, waiting: [...waiting], unreached: this.unreached.has(id) ? 1 : 0 }
     })
   }
@@ -134,18 +134,18 @@
   }
 
   /** Another host reaches the endpoint. */
-  reachedBy (id: EndpointId, host: PoolHost): void {
+  recordReachableVia (id: EndpointId, host: PoolHost): void {
     this.reach = this.reach.with(id, host, clock.now())
   }
 
   /** A host that reached the endpoint lately, in this data centre if there is one; undefined when none did. */
-  hostFor (id: EndpointId | undefined): PoolHost | undefined {
+  hostReaching (id: EndpointId | undefined): PoolHost | undefined {
     const hosts = id === undefined ? [] : this.reach.hosts(id, clock.now())
     return hosts.find(({ dataCentre }) => dataCentre === this.options.dataCentre) ?? hosts[0]
   }
 
   /** Whether there is a leader that this host doesn't reach. */
-  isLeaderOut (): boolean {
+  isLeaderUnreachable (): boolean {
     return this.leader !== undefined && this.contact(this.leader).isFailing(clock.now())
   }
 
@@ -160,13 +160,13 @@
   }
 
   /** Which statements wait for what they lack: only where the group's owners are picked, so that each of them knows what is under way. */
-  get patience (): Patience {
-    return this.dealt.hasRoom ? PATIENT : PROMPT
+  get retryPolicy (): Patience {
+    return this.share.hasRoom ? PATIENT : PROMPT
   }
 
   /** This host's connections to an endpoint. */
   get connections (): number {
-    return this.dealt.connections
+    return this.share.connections
   }
 
   /** What a statement takes here from its sending to its answer, in milliseconds. */
@@ -179,35 +179,35 @@
   }
 
   /** A statement was done, so long after it was sent. */
-  served (ms: number): void {
+  recordServiceTime (ms: number): void {
     this.service.add(ms, clock.now())
   }
 
-  listed (directory: Directory): void {
+  updateDirectory (directory: Directory): void {
     const before = this.directory
     this.directory = directory
-    this.lead(this.leadership.listed(before, directory), 'directory')
+    this.setLeadership(this.leadership.listed(before, directory), 'directory')
     for (const { id, startedAtMs: bornAt } of this.endpoints) {
       const old = before.get(id)
-      if (old !== undefined && old.startedAtMs !== bornAt) this.forget(id)
+      if (old !== undefined && old.startedAtMs !== bornAt) this.removeEndpoint(id)
     }
-    for (const { id, places } of this.endpoints) this.lenders.get(id)?.resize(this.dealt, places)
+    for (const { id, places } of this.endpoints) this.connectionPools.get(id)?.resize(this.share, places)
     const ids = new Set(this.endpoints.map(({ id }) => id))
-    for (const id of this.lenders.keys()) {
-      if (!ids.has(id) && id !== this.leader) this.forget(id)
+    for (const id of this.connectionPools.keys()) {
+      if (!ids.has(id) && id !== this.leader) this.removeEndpoint(id)
     }
   }
 
   /** Takes another share of each endpoint's connections. */
-  resize (dealt: Dealt): void {
+  setShare (dealt: EndpointShare): void {
     const { connections, isOwner } = dealt
-    if (connections !== this.dealt.connections) this.options.log.write('shareDealt', { group: this.id, connections, isOwner })
-    this.dealt = dealt
-    this.sharedLoad.among(dealt.others)
-    for (const [id, lender] of this.lenders) lender.resize(dealt, this.directory.get(id)?.places ?? lender.endpoint.places)
+    if (connections !== this.share.connections) this.options.log.write('shareDealt', { group: this.id, connections, isOwner })
+    this.share = dealt
+    this.sharedLoad.setOwners(dealt.otherOwners)
+    for (const [id, lender] of this.connectionPools) lender.resize(dealt, this.directory.get(id)?.places ?? lender.endpoint.places)
   }
 
-  handOver (handover: Handover): void {
+  setHandover (handover: Handover): void {
     this.handover = handover
   }
 
@@ -217,27 +217,27 @@
   }
 
   /** The connections to the endpoint; undefined for one that isn't listed. */
-  lender (id: EndpointId): Lender | undefined {
-    const known = this.lenders.get(id)
+  connectionPool (id: EndpointId): ConnectionPool | undefined {
+    const known = this.connectionPools.get(id)
     if (known !== undefined) return known
     const endpoint = this.directory.get(id)
     if (endpoint === undefined) return undefined
     const { dialer, chance, startedAt } = this.options
-    const { dealt, dealt: { hasRoom }, options: { log, metrics } } = this
-    const count = (places: number, queued: () => number) => Places.create({ endpoint: id, places, queued, others: this.sharedLoad, answers: () => this.reads.answers(id), log, metrics, chance })
-    const onDialled = (outcome: 'opened' | DialFault) => this.dialled(id, outcome)
-    const lender = Lender.create({ endpoint, dialer, chance, thrift: hasRoom ? Thrift.none : Thrift.started(startedAt), dealt, count, onDialled })
-    this.lenders.set(id, lender)
+    const { share: dealt, share: { hasRoom }, options: { log, metrics } } = this
+    const count = (places: number, queued: () => number) => Places.create({ endpoint: id, places, queued, others: this.sharedLoad, answers: () => this.readRouter.answers(id), log, metrics, chance })
+    const onDialled = (outcome: 'opened' | DialFault) => this.recordDial(id, outcome)
+    const lender = ConnectionPool.create({ endpoint, dialer, chance, thrift: hasRoom ? Thrift.none : Thrift.started(startedAt), share: dealt, count, onDialEnded: onDialled })
+    this.connectionPools.set(id, lender)
     return lender
   }
 
   /** What this host has at the group's endpoints, as far as it counts that. */
   get loads (): readonly EndpointLoad[] {
-    return [...this.lenders.values()].flatMap(({ load }) => load ?? [])
+    return [...this.connectionPools.values()].flatMap(({ load }) => load ?? [])
   }
 
   /** The position that a read of the age must find; undefined when only the primary can serve it. */
-  required (own: Token, ageMs: number): Token | undefined {
+  requiredPosition (own: Token, ageMs: number): Token | undefined {
     return this.progress.required(own, ageMs, clock.age())
   }
 
@@ -248,77 +248,77 @@
 
   /** The endpoint answered; `isLead`: in a way that only a primary can. */
   answered (id: EndpointId, position: Token | undefined, sentAt: Instant, isLead: boolean): void {
-    this.reached(id, clock.now())
+    this.recordReached(id, clock.now())
     if (position === undefined) return
     this.standings.set(id, this.standing(id).answered(position, clock.now()))
     if (isLead) this.progress = this.progress.with(position, sentAt)
-    this.reads.answered(id, position)
+    this.readRouter.answered(id, position)
     if (!isLead) return
-    this.lead(this.leadership.proved(id, position.term), 'proof')
+    this.setLeadership(this.leadership.proved(id, position.term), 'proof')
   }
 
   /** The endpoint says of itself that it leads the term; weaker than a proof, so it marks no position. */
-  claimed (id: EndpointId, term: number): void {
+  recordLeaderClaim (id: EndpointId, term: number): void {
     if (term < this.progress.term) return
-    this.lead(this.leadership.proved(id, term), 'status')
+    this.setLeadership(this.leadership.proved(id, term), 'status')
   }
 
-  fellShort (id: EndpointId): void {
+  recordBehind (id: EndpointId): void {
     this.standings.set(id, this.standing(id).fellShort(clock.now()))
-    this.reads.fellShort(id)
+    this.readRouter.recordBehind(id)
   }
 
-  notPrimary (id: EndpointId): void {
-    this.lead(this.leadership.refused(id, clock.now()), 'refusal')
+  recordNotPrimary (id: EndpointId): void {
+    this.setLeadership(this.leadership.refused(id, clock.now()), 'refusal')
   }
 
   /** Something was sent to the endpoint. */
-  asked (id: EndpointId): void {
+  recordRequest (id: EndpointId): void {
     const contact = this.contact(id)
     const next = contact.asked(clock.now())
     if (next !== contact) this.contacts.set(id, next)
   }
 
-  missed (id: EndpointId): void {
+  recordNoAnswer (id: EndpointId): void {
     const now = clock.now()
     const contact = this.contact(id).missed(now)
     this.contacts.set(id, contact)
     if (!contact.isFailing(now)) return
     if (id === this.leader) this.outage.begin()
-    this.lenders.get(id)?.refuseWaiting()
-    this.watchers.tell(id)
+    this.connectionPools.get(id)?.refuseWaiting()
+    this.watchers.notify(id)
     if (this.unreached.has(id)) return
     this.unreached.add(id)
     this.options.log.write('endpointUnreachable', { endpoint: id, group: this.id, isLeader: id === this.leader })
   }
 
   close (): void {
-    for (const id of this.lenders.keys()) this.forget(id)
+    for (const id of this.connectionPools.keys()) this.removeEndpoint(id)
   }
 
-  private dialled (id: EndpointId, outcome: 'opened' | DialFault): void {
+  private recordDial (id: EndpointId, outcome: 'opened' | DialFault): void {
     this.options.metrics.dials.inc({ outcome })
     // An endpoint that takes no more connections answers, and so lives; one that ends them without a word shows neither.
-    if (outcome === 'opened' || outcome === 'tooManyConnections') this.reached(id, clock.now())
-    else if (outcome !== 'turnedAway') this.missed(id)
+    if (outcome === 'opened' || outcome === 'tooManyConnections') this.recordReached(id, clock.now())
+    else if (outcome !== 'turnedAway') this.recordNoAnswer(id)
   }
 
-  private reached (id: EndpointId, now: Instant): void {
-    const wasOut = id === this.leader && this.isLeaderOut()
+  private recordReached (id: EndpointId, now: Instant): void {
+    const wasOut = id === this.leader && this.isLeaderUnreachable()
     this.contacts.set(id, this.contact(id).reached(now))
     if (wasOut) this.outage.end()
     if (this.unreached.delete(id)) this.options.log.write('endpointReachable', { endpoint: id, group: this.id })
   }
 
-  private readsView (): ReturnType<Parameters<typeof GroupReads.create>[1]> {
+  private readsView (): ReturnType<Parameters<typeof ReadRouter.create>[1]> {
     const now = clock.now()
     return {
       endpoints: this.endpoints,
       primary: this.leader,
       progress: this.progress,
-      isShared: this.dealt.hasRoom,
+      isShared: this.share.hasRoom,
       standing: id => this.standing(id),
-      lender: id => this.lenders.get(id),
+      lender: id => this.connectionPools.get(id),
       isReachable: id => !this.contact(id).isOut(now)
     }
   }
@@ -327,21 +327,21 @@
     return this.standings.get(id) ?? Standing.unknown
   }
 
-  private lead (next: Leadership, cause: string): void {
+  private setLeadership (next: Leadership, cause: string): void {
     const before = this.leadership.leader
     this.leadership = next
     if (next.leader === before) return
     this.options.metrics.leaderChanges.inc({ group: this.id })
     this.options.log.write('leaderChanged', { group: this.id, leader: next.leader ?? 'none', before: before ?? 'none', cause, term: this.progress.term, markAgeMs: Math.round(this.markAgeMs() ?? -1) })
     if (next.leader === undefined) this.outage.begin()
-    else this.outage.replaced()
+    else this.outage.recordReplaced()
   }
 
-  private forget (id: EndpointId): void {
-    this.lenders.get(id)?.close()
-    this.lenders.delete(id)
+  private removeEndpoint (id: EndpointId): void {
+    this.connectionPools.get(id)?.close()
+    this.connectionPools.delete(id)
     this.standings.delete(id)
-    this.reads.forget(id)
+    this.readRouter.removeEndpoint(id)
     this.contacts.delete(id)
     this.unreached.delete(id)
   }
--- a/src/shell/pool/groups.ts
+++ b/src/shell/pool/groups.ts
@@ -15,7 +15,7 @@
 import { PoolGroup } from './group.ts'
 import type { PoolMetrics } from './metrics.ts'
 import type { Platform } from './platform.ts'
-import { Successor } from './succession/successor.ts'
+import { FailoverController } from './failover/failovercontroller.ts'
 
 interface Options {
   readonly self: PoolHost
@@ -24,7 +24,7 @@
   /** Where what hosts tell each other through the store lies. */
   readonly table: string
   /** Where a team's sessions meet if few owners are picked. */
-  readonly meeting?: TeamMeeting | undefined
+  readonly affinity?: TeamMeeting | undefined
   readonly platform: Platform
   readonly log: Log
   readonly metrics: PoolMetrics
@@ -40,7 +40,7 @@
 export class PoolGroups {
   private readonly groups = new Map<GroupId, PoolGroup>()
   private readonly places = new Map<GroupId, GroupPlaces>()
-  private readonly successors = new Map<GroupId, Successor>()
+  private readonly failovers = new Map<GroupId, FailoverController>()
   /** Rows of the shared table that came before the configuration named their group. */
   private readonly sharedRows = new Map<string, Row>()
   private ownerships = Ownerships.none
@@ -64,67 +64,67 @@
   }
 
   /** The directory says something new. */
-  listed (): void {
+  updateDirectory (): void {
     const directory = this.options.directory()
-    for (const group of this.groups.values()) group.listed(directory)
-    if (this.learnPlaces()) this.resize()
+    for (const group of this.groups.values()) group.updateDirectory(directory)
+    if (this.updatePlaces()) this.assignOwners()
   }
 
   /** The configuration changed. */
-  configured (): void {
+  applyConfig (): void {
     const wanted = new Set(this.options.config().groups.map(({ id }) => id))
     for (const [id, group] of this.groups) {
       if (wanted.has(id)) continue
       group.close()
       this.groups.delete(id)
       this.places.delete(id)
-      this.successors.delete(id)
+      this.failovers.delete(id)
     }
     for (const id of wanted) {
       if (this.groups.has(id)) continue
       const { self, platform, log, metrics, chance, startedAt, directory } = this.options
       const group = PoolGroup.create({ id, dataCentre: self.dataCentre, dialer: platform.dialer, log, metrics, chance, startedAt })
-      group.listed(directory())
+      group.updateDirectory(directory())
       this.groups.set(id, group)
-      this.successors.set(id, this.successorOf(group))
+      this.failovers.set(id, this.createFailover(group))
     }
-    this.learnPlaces()
-    this.resize()
+    this.updatePlaces()
+    this.assignOwners()
   }
 
   /** A row that hosts write for each other; those of other kinds are passed over. */
-  told (row: Row): void {
+  applySharedRow (row: Row): void {
     const [kind, name] = row.key.split('/')
     if (kind === 'lease' || kind === 'handover') this.sharedRows.set(row.key, row)
-    const successor = this.successors.get(name as GroupId)
+    const successor = this.failovers.get(name as GroupId)
     if (kind === 'lease') successor?.leaseChanged(row)
     if (kind === 'objection') successor?.objectionMade(row)
     if (kind === 'handover') successor?.handoverAnnounced(row)
   }
 
   tick (): void {
-    for (const successor of this.successors.values()) successor.tick()
+    for (const successor of this.failovers.values()) successor.tick()
   }
 
   /** Works out anew who owns which group. */
-  resize (): void {
-    const { self, config, hosts, meeting = oneOwner } = this.options
+  assignOwners (): void {
+    const { self, config, hosts, affinity: meeting = oneOwner } = this.options
     const { groups, teams } = config()
     const sized = groups.map(({ id, connections }) => ({ id, connections, places: this.places.get(id) ?? GroupPlaces.none }))
     const before = this.ownerships
     this.ownerships = Ownerships.of(sized, hosts(), teams !== undefined, meeting)
     for (const { id } of groups) {
       const ownership = this.ownerships.get(id)!
-      this.note(id, before.get(id), ownership)
+      this.logOwners(id, before.get(id), ownership)
       const isOwner = ownership.isOwner(self.id)
       const isPicked = isOwner && ownership.hasRoom
       const others = isPicked ? ownership.owners.filter(owner => owner.id !== self.id) : []
-      this.groups.get(id)?.resize({ connections: isOwner ? ownership.share : 1, isOwner, hasRoom: isPicked, others })
+      this.groups.get(id)?.setShare({ connections: isOwner ? ownership.share : 1, isOwner, hasRoom: isPicked, otherOwners: others })
     }
   }
 
   /** Written by owners only: with hundreds of hosts that each write whenever one comes or goes, nobody could read it. */
-  private note (group: GroupId, before: Ownership | undefined, { owners, share, hasRoom }: Ownership): void {
+  private logOwners (group: GroupId, before: Ownership | undefined, { owners, share, hasRoom }: Ownership): void {
     const { self, log } = this.options
     const namesOf = (hosts: readonly PoolHost[]) => hosts.map(({ id }) => id).sort().join(' ')
     const isConcerned = [...owners, ...before?.owners ?? []].some(({ id }) => id === self.id)
@@ -133,7 +133,7 @@
   }
 
   /** Whether more places were seen of any group. */
-  private learnPlaces (): boolean {
+  private updatePlaces (): boolean {
     let isNews = false
     for (const [id, { endpoints }] of this.groups) {
       const before = this.places.get(id) ?? GroupPlaces.none
@@ -144,9 +144,9 @@
     return isNews
   }
 
-  private successorOf (group: PoolGroup): Successor {
+  private createFailover (group: PoolGroup): FailoverController {
     const { self, platform, table, log, metrics, drainMs, hosts, config, signal } = this.options
-    const successor = Successor.create({
+    const successor = FailoverController.create({
       host: self.id,
       drainMs,
       group,
@@ -155,7 +155,7 @@
       log,
       metrics,
       hosts,
-      turns: () => this.ownerships.get(group.id)?.turns ?? [self.id],
+      failoverOrder: () => this.ownerships.get(group.id)?.turns ?? [self.id],
       isSynchronous: () => config().group(group.id)?.isSynchronous === true,
       signal
     })
--- a/src/shell/pool/lending/attempt.ts
+++ b/src/shell/pool/lending/attempt.ts
@@ -8,20 +8,20 @@
 import { clock } from '../clock.ts'
 import type { PoolGroup } from '../group.ts'
 import type { EndpointLink } from './link.ts'
-import type { Loans } from './loans.ts'
+import type { ConnectionSource } from './connectionsource.ts'
 import type { PlaceTicket } from './placeticket.ts'
 
 /** A connection on loan, with what it belongs to. */
 export class Attempt {
-  private constructor (readonly group: PoolGroup, readonly loans: Loans, readonly link: EndpointLink, private readonly gate: Gate | undefined) {}
+  private constructor (readonly group: PoolGroup, readonly source: ConnectionSource, readonly link: EndpointLink, private readonly gate: Gate | undefined) {}
 
   /** `gate`: what callers' statements go through; undefined where another host looks after that, and for this process's own. */
-  static on (group: PoolGroup, loans: Loans, link: EndpointLink, gate?: Gate): Attempt {
+  static on (group: PoolGroup, loans: ConnectionSource, link: EndpointLink, gate?: Gate): Attempt {
     return new Attempt(group, loans, link, gate)
   }
 
   get endpoint (): EndpointId {
-    return this.loans.endpoint.id
+    return this.source.endpoint.id
   }
 
   /**
@@ -30,18 +30,18 @@
    * endpoint leads.
    */
   async ask (commands: readonly Command[], index: number, timeoutMs: number, isLead: boolean): Promise<Answer | Ending> {
-    const isOwn = !commands.some(isCallers)
+    const isOwn = !commands.some(isCallerCommand)
     const began = clock.now()
-    const ticket = isOwn ? undefined : this.loans.enter(this.link, timeoutMs)
-    if (ticket !== undefined && !await this.isLetOut(ticket, timeoutMs)) return 'busy'
+    const ticket = isOwn ? undefined : this.source.requestPlace(this.link, timeoutMs)
+    if (ticket !== undefined && !await this.waitForPlace(ticket, timeoutMs)) return 'busy'
     const refused = isOwn ? undefined : this.gate?.check()
     if (refused !== undefined) {
-      ticket?.giveBack('notSent')
+      ticket?.returnPlace('notSent')
       return refused
     }
     const leftMs = ticket === undefined ? timeoutMs : timeoutMs - (clock.now() - began)
     const answer = await this.send(commands, index, leftMs, isLead)
-    ticket?.giveBack(typeof answer === 'string' ? answer : 'done')
+    ticket?.returnPlace(typeof answer === 'string' ? answer : 'done')
     return answer
   }
 
@@ -49,55 +49,55 @@
    * Whether the statement has its place in time, and still its connection. One whose connection ended while it waited was never sent: that is
    * "not run", where a connection that ends later leaves a write in doubt.
    */
-  private async isLetOut (ticket: PlaceTicket, timeoutMs: number): Promise<boolean> {
+  private async waitForPlace (ticket: PlaceTicket, timeoutMs: number): Promise<boolean> {
     const until = clock.now() + timeoutMs
     const isGranted = await ticket.granted
     if (isGranted && this.link.isOpen && clock.now() < until) return true
-    ticket.giveBack('notSent')
+    ticket.returnPlace('notSent')
     // A broken connection may be the first sign that the endpoint is gone.
-    if (!this.link.isOpen) this.group.missed(this.endpoint)
+    if (!this.link.isOpen) this.group.recordNoAnswer(this.endpoint)
     return false
   }
 
   private async send (commands: readonly Command[], index: number, timeoutMs: number, isLead: boolean): Promise<Answer | Ending> {
-    this.group.asked(this.endpoint)
-    const ended = commands.some(isCallers) ? this.group.reads.sent(this.endpoint) : undefined
+    this.group.recordRequest(this.endpoint)
+    const ended = commands.some(isCallerCommand) ? this.group.readRouter.sent(this.endpoint) : undefined
     const { answers, lost } = await this.link.ask(commands, timeoutMs)
     const answer = answers[index]
     ended?.(answer === undefined ? lost ?? 'broken' : answer.fault ?? 'done')
-    if (answers.slice(0, index).some(({ fault }) => fault !== undefined)) return this.spoil()
-    if (answer === undefined) return this.lose(lost ?? 'broken')
+    if (answers.slice(0, index).some(({ fault }) => fault !== undefined)) return this.closeUnknownState()
+    if (answer === undefined) return this.recordLost(lost ?? 'broken')
     const isDone = answer.fault === undefined
     this.group.answered(this.endpoint, answer.position, answer.sentAt, isDone && isLead)
-    if (answer.fault === 'behind') this.group.fellShort(this.endpoint)
-    if (answer.fault === 'notPrimary') this.group.notPrimary(this.endpoint)
+    if (answer.fault === 'behind') this.group.recordBehind(this.endpoint)
+    if (answer.fault === 'notPrimary') this.group.recordNotPrimary(this.endpoint)
     return answer.fault ?? answer
   }
 
   /** Gives the connection back; a transaction that is open on it is rolled back first. */
-  end (): void {
-    const { link, loans } = this
-    if (!link.isOpen || !link.isInTransaction) return loans.giveBack(link)
-    link.ask([{ kind: 'rollback' }], ROLLBACK_MS).then(() => loans.giveBack(link))
+  release (): void {
+    const { link, source: loans } = this
+    if (!link.isOpen || !link.isInTransaction) return loans.returnLink(link)
+    link.ask([{ kind: 'rollback' }], ROLLBACK_MS).then(() => loans.returnLink(link))
   }
 
   /**
    * Against a statement that ran under values that weren't taken: what is set on
    * the connection isn't known any more, and the answer isn't passed on.
    */
-  private spoil (): Ending {
+  private closeUnknownState (): Ending {
     this.link.close()
     return 'broken'
   }
 
-  private lose (lost: 'broken' | 'outOfTime'): Ending {
-    this.group.missed(this.endpoint)
-    if (lost === 'outOfTime') this.loans.distrust()
+  private recordLost (lost: 'broken' | 'outOfTime'): Ending {
+    this.group.recordNoAnswer(this.endpoint)
+    if (lost === 'outOfTime') this.source.closeIdle()
     return lost
   }
 }
 
-function isCallers (command: Command): boolean {
+function isCallerCommand (command: Command): boolean {
   return 'id' in command
 }
 
--- a/src/shell/pool/lending/waiter.ts
+++ b/src/shell/pool/lending/borrowrequest.ts
@@ -28,7 +28,7 @@
   readonly retryAfterMs: number
 }
 
-export interface Waiter {
+export interface BorrowRequest {
   readonly id: number
   readonly wish: Wish
   readonly deadline: Instant
--- a/src/shell/pool/lending/lender.test.ts
+++ b/src/shell/pool/lending/connectionpool.test.ts
@@ -14,7 +14,7 @@
 import type { PoolGroup } from '../group.ts'
 import { PoolMetrics } from '../metrics.ts'
 import { Attempt } from './attempt.ts'
-import { Lender } from './lender.ts'
+import { ConnectionPool } from './connectionpool.ts'
 import type { EndpointLink } from './link.ts'
 import { Places } from './places.ts'
 
@@ -59,18 +59,18 @@
 /** A lender of so many connections, and those that it opened. */
 class Bench {
   readonly links: FakeLink[] = []
-  readonly lender: Lender
+  readonly lender: ConnectionPool
   dialMs = 0
   /** Signs that the endpoint is gone. */
   missed = 0
 
   constructor (connections: number, hasRoom = true, endpoint = ENDPOINT) {
-    this.lender = Lender.create({
+    this.lender = ConnectionPool.create({
       endpoint,
-      dealt: { connections, isOwner: true, others: [], hasRoom },
+      share: { connections, isOwner: true, otherOwners: [], hasRoom },
       thrift: Thrift.none,
       chance: () => 0,
-      onDialled: () => {},
+      onDialEnded: () => {},
       count: (count, queued) => Places.create({ endpoint: endpoint.id, places: count, queued, others: IDLE, answers: () => Answers.create(), log: Log.silent, metrics: PoolMetrics.create(), chance: () => 0 }),
       dialer: {
         dial: async (_endpoint, team) => {
@@ -180,7 +180,7 @@
     third!.link.isInTransaction = true
     await vi.advanceTimersByTimeAsync(500)
     expect(third!.result.ending).toBe('busy')
-    Attempt.on({} as PoolGroup, bench.lender, third!.link).end()
+    Attempt.on({} as PoolGroup, bench.lender, third!.link).release()
     expect([third!.link.sent, third!.link.isOpen]).toEqual([1, true])
     third!.link.answer([DONE])
     await vi.advanceTimersByTimeAsync(0)
@@ -192,7 +192,7 @@
     const bench = new Bench(5)
     const reads = await bench.reads(4)
     expect(reads.map(({ link }) => link.sent)).toEqual([1, 1, 0, 0])
-    bench.lender.resize({ connections: 5, isOwner: true, others: [], hasRoom: true }, 4)
+    bench.lender.resize({ connections: 5, isOwner: true, otherOwners: [], hasRoom: true }, 4)
     expect(bench.lender.load).toMatchObject({ atWork: 4, waiting: 0 })
   })
 })
@@ -203,10 +203,10 @@
     // Two teams share an owner with few connections; the one sends a second statement while the first is under way.
     const bench = new Bench(2)
     const red = await settled(bench.borrow('red'))
-    bench.lender.giveBack(await settled(bench.borrow('blue')))
+    bench.lender.returnLink(await settled(bench.borrow('blue')))
     const second = bench.borrow('red')
     await vi.advanceTimersByTimeAsync(3)
-    bench.lender.giveBack(red)
+    bench.lender.returnLink(red)
     expect(await settled(second)).toBe(red)
     expect(bench.links).toHaveLength(2)
   })
@@ -214,9 +214,9 @@
   it('the connection of the team that uses its own least is closed', async () => {
     // A busy team's connection is closed for a rare one's, since it was unused for some milliseconds longer.
     const bench = new Bench(3)
-    for (let i = 0; i < 5; i++) bench.lender.giveBack(await settled(bench.borrow('busy')))
-    bench.lender.giveBack(await settled(bench.borrow('rare')))
-    bench.lender.giveBack(await settled(bench.borrow('other')))
+    for (let i = 0; i < 5; i++) bench.lender.returnLink(await settled(bench.borrow('busy')))
+    bench.lender.returnLink(await settled(bench.borrow('rare')))
+    bench.lender.returnLink(await settled(bench.borrow('other')))
     await settled(bench.borrow('new'))
     expect(bench.links.filter(({ isOpen }) => !isOpen).map(({ team }) => team)).toEqual(['rare'])
   })
--- a/src/shell/pool/lending/lender.ts
+++ b/src/shell/pool/lending/connectionpool.ts
@@ -11,27 +11,27 @@
 import type { EndpointLoad } from '../../../core/pool/load/endpointload.ts'
 import { Thrift } from '../../../core/pool/placing/thrift.ts'
 import { clock } from '../clock.ts'
-import type { Dealt } from './dealt.ts'
+import type { EndpointShare } from './endpointshare.ts'
 import type { Dialer } from './dialer.ts'
-import { Dials } from './dials.ts'
+import { EndpointDialer } from './endpointdialer.ts'
 import type { DialFault } from './dialfault.ts'
 import { IdleLinks } from './idlelinks.ts'
 import type { EndpointLink } from './link.ts'
-import type { Loans } from './loans.ts'
-import { isFull } from './isfull.ts'
+import type { ConnectionSource } from './connectionsource.ts'
+import { isEndpointFull } from './isendpointfull.ts'
 import { limitsOf } from './limitsof.ts'
-import { Openings } from './openings.ts'
+import { OpeningQueue } from './openingqueue.ts'
 import type { Places } from './places.ts'
 import type { PlaceTicket } from './placeticket.ts'
-import { Resting } from './resting.ts'
+import { IdleTimeouts } from './idletimeouts.ts'
 import { Ticker } from './ticker.ts'
-import type { Waiter } from './waiter.ts'
+import type { BorrowRequest } from './borrowrequest.ts'
 
-type Lent = Parameters<Waiter['answer']>[0]
+type BorrowResult = Parameters<BorrowRequest['answer']>[0]
 
 interface Loan {
   readonly id: number
-  readonly wish: Waiter['wish']
+  readonly wish: BorrowRequest['wish']
   /** Until when it's best started; undefined where that plays no part. */
   readonly aim: Instant | undefined
   /** Its last order for a place at the endpoint; undefined before the first. */
@@ -41,49 +41,49 @@
 interface Options {
   readonly endpoint: Endpoint
   readonly dialer: Dialer
-  readonly dealt: Dealt
+  readonly share: EndpointShare
   /** Begins to count this host's part of so many places of the endpoint. */
   readonly count: (places: number, queued: () => number) => Places
   readonly chance: () => number
   /** Whether connections are scarce as it begins. */
   readonly thrift: Thrift
   /** Told of each try to open a connection. */
-  readonly onDialled: (outcome: 'opened' | DialFault) => void
+  readonly onDialEnded: (outcome: 'opened' | DialFault) => void
 }
 
 /** How often waiting operations are looked through; a tenth of the shortest aim that callers have. */
 const TICK_MS = 10
 /** The time to come back to an endpoint that is out of reach: about the time in which a successor is found. */
-const OUT_MS = 500
+const UNREACHABLE_RETRY_MS = 500
 
-export class Lender implements Loans {
+export class ConnectionPool implements ConnectionSource {
   private readonly admission: Admission
   private readonly idle = IdleLinks.create()
   private readonly loans = new Map<EndpointLink, Loan>()
-  private readonly waiting = new Map<number, Waiter>()
+  private readonly waiting = new Map<number, BorrowRequest>()
   private nextId = 1
   /** Unused connections that are given up unless they are lent before. */
-  private readonly resting = Resting.create(link => this.drop(link))
+  private readonly idleTimeouts = IdleTimeouts.create(link => this.drop(link))
   private readonly ticker = Ticker.create(TICK_MS, () => this.step({ kind: 'tick' }))
   private isClosed = false
   private limit: number
   private thrift: Thrift
   /** Undefined where every host connects by itself, and where the endpoint doesn't tell its places. */
   private places: Places | undefined
-  private readonly openings = Openings.create<Waiter>()
-  private readonly dials: Dials
+  private readonly openings = OpeningQueue.create<BorrowRequest>()
+  private readonly dialer: EndpointDialer
 
   private constructor (private readonly options: Options) {
-    const { dealt: { connections, hasRoom }, endpoint, dialer, onDialled } = options
-    this.dials = Dials.create({ endpoint, dialer, onDialled, onOpened: (link, team) => this.idle.assign(link, team), onEnded: link => this.ended(link) })
+    const { share: { connections, hasRoom }, endpoint, dialer, onDialEnded: onDialled } = options
+    this.dialer = EndpointDialer.create({ endpoint, dialer, onDialEnded: onDialled, onOpened: (link, team) => this.idle.assign(link, team), onEnded: link => this.handleEnd(link) })
     this.limit = connections
     this.thrift = options.thrift
     this.admission = Admission.create(limitsOf(connections))
     this.countPlaces(hasRoom ? endpoint.places : undefined)
   }
 
-  static create (options: Options): Lender {
-    return new Lender(options)
+  static create (options: Options): ConnectionPool {
+    return new ConnectionPool(options)
   }
 
   /** What an operation that comes now would find: those that wait for a connection or a place, and 1 when no connection is free or can be opened. */
@@ -93,14 +93,14 @@
   }
 
   /** For operators: `atWork` has the transactions in it that are between two statements. */
-  get seen (): { readonly connections: number, readonly atWork: number, readonly waiting: readonly number[] } {
+  get stats (): { readonly connections: number, readonly atWork: number, readonly waiting: readonly number[] } {
     const { openConnections: open, counts, queuedByClass } = this.admission
     return { connections: open, atWork: counts.running, waiting: queuedByClass }
   }
 
   /** Whether a connection of the team is unused. */
-  hasUnused (team: TeamId): boolean {
-    return this.idle.hasFor(team)
+  hasIdle (team: TeamId): boolean {
+    return this.idle.hasTeam(team)
   }
 
   get endpoint (): Endpoint {
@@ -112,17 +112,17 @@
     return this.places?.load()
   }
 
-  enter (link: EndpointLink, leftMs: number): PlaceTicket | undefined {
+  requestPlace (link: EndpointLink, leftMs: number): PlaceTicket | undefined {
     const loan = this.loans.get(link)
     if (loan === undefined || this.places === undefined) return undefined
     const { wish: { rank, caller, isTransaction }, aim } = loan
     const what = isTransaction && loan.ticket !== undefined ? 'next' : 'first'
-    loan.ticket = this.places.enter({ rank, caller, what, leftMs, aim })
+    loan.ticket = this.places.requestPlace({ rank, caller, what, leftMs, aim })
     return loan.ticket
   }
 
   /** Takes another share of the endpoint's connections. `places`: as the endpoint tells. */
-  resize ({ connections, hasRoom }: Dealt, places: number | undefined): void {
+  resize ({ connections, hasRoom }: EndpointShare, places: number | undefined): void {
     this.countPlaces(hasRoom ? places : undefined)
     if (connections === this.limit) return
     this.limit = connections
@@ -131,16 +131,16 @@
   }
 
   /** Resolves always: a connection that nobody else uses until it's given back, or why there is none. */
-  async borrow (wish: Waiter['wish']): Promise<Lent> {
+  async borrow (wish: BorrowRequest['wish']): Promise<BorrowResult> {
     if (this.isClosed) return err({ reason: 'unreachable', retryAfterMs: 0 })
     const giveUp = () => this.giveUp(wish)
     wish.gone?.addEventListener('abort', giveUp)
-    const borrowed = await new Promise<Lent>(resolve => this.enqueue({ id: this.nextId++, wish, deadline: clock.now() + wish.leftMs as Instant, answer: resolve }))
+    const borrowed = await new Promise<BorrowResult>(resolve => this.enqueue({ id: this.nextId++, wish, deadline: clock.now() + wish.leftMs as Instant, answer: resolve }))
     wish.gone?.removeEventListener('abort', giveUp)
     return borrowed
   }
 
-  giveBack (link: EndpointLink): void {
+  returnLink (link: EndpointLink): void {
     const loan = this.loans.get(link)
     if (loan === undefined) return
     const { id, wish: { team } } = loan
@@ -151,7 +151,7 @@
     else if (isUsable) this.idle.add(link)
     else link.close()
     this.step({ kind: 'finished', id, isUsable })
-    if (this.idle.has(link)) this.resting.rest(link, this.thrift.restMs(clock.now()))
+    if (this.idle.has(link)) this.idleTimeouts.rest(link, this.thrift.restMs(clock.now()))
   }
 
   /**
@@ -159,7 +159,7 @@
    * silent without a reset: one that gave no answer in time shows it, and the
    * others would each cost an operation its time.
    */
-  distrust (): void {
+  closeIdle (): void {
     for (const link of this.idle.all) this.drop(link)
   }
 
@@ -168,38 +168,38 @@
     for (const [id, waiter] of [...this.waiting]) {
       this.waiting.delete(id)
       this.step({ kind: 'cancelled', id })
-      waiter.answer(err({ reason: 'unreachable', retryAfterMs: OUT_MS }))
+      waiter.answer(err({ reason: 'unreachable', retryAfterMs: UNREACHABLE_RETRY_MS }))
     }
     this.places?.refuseWaiting()
-    this.refuseParked(OUT_MS)
+    this.refuseParked(UNREACHABLE_RETRY_MS)
   }
 
   close (): void {
     this.isClosed = true
-    this.dials.close()
+    this.dialer.close()
     this.ticker.stop()
     this.places?.close()
     this.refuseParked(0)
-    this.distrust()
+    this.closeIdle()
     for (const [id, waiter] of this.waiting) {
       this.waiting.delete(id)
       waiter.answer(err({ reason: 'unreachable', retryAfterMs: 0 }))
     }
   }
 
-  private enqueue (waiter: Waiter): void {
+  private enqueue (waiter: BorrowRequest): void {
     const { id, wish: { rank, caller, isTransaction }, deadline } = waiter
     this.waiting.set(id, waiter)
     this.step({ kind: 'arrived', request: { id, rank, caller: caller as CallerId, deadline, aim: this.aimOf(waiter), isTransaction } })
   }
 
   /** Where this host counts places it decides by aims as well; elsewhere first come, first served. */
-  private aimOf ({ wish: { leftMs, aimMs }, deadline }: Pick<Waiter, 'wish' | 'deadline'>): Instant | undefined {
+  private aimOf ({ wish: { leftMs, aimMs }, deadline }: Pick<BorrowRequest, 'wish' | 'deadline'>): Instant | undefined {
     return this.places === undefined || aimMs === undefined ? undefined : deadline - leftMs + aimMs as Instant
   }
 
   /** Against a place in the queue, and perhaps a new connection, for an operation that nobody waits for. */
-  private giveUp (wish: Waiter['wish']): void {
+  private giveUp (wish: BorrowRequest['wish']): void {
     const [id, waiter] = [...this.waiting].find(([, one]) => one.wish === wish) ?? []
     if (id === undefined || waiter === undefined) return
     this.waiting.delete(id)
@@ -230,11 +230,11 @@
     else this.lend(link, waiter)
   }
 
-  private lend (link: EndpointLink, waiter: Waiter): void {
+  private lend (link: EndpointLink, waiter: BorrowRequest): void {
     const { id, wish, answer } = waiter
     this.loans.set(link, { id, wish, aim: this.aimOf(waiter) })
-    this.idle.used(wish.team, clock.now())
-    this.resting.wake(link)
+    this.idle.recordUse(wish.team, clock.now())
+    this.idleTimeouts.cancel(link)
     answer(ok(link))
   }
 
@@ -242,8 +242,8 @@
   private open (): void {
     const [first] = this.waiting.values()
     if (first?.wish.team !== undefined) return this.step({ kind: 'opened', isVacant: true })
-    this.openings.any(this.places, first, async () => await this.dials.dial(undefined)).then(dialled => {
-      if (dialled.isErr()) return this.notOpened(dialled.error)
+    this.openings.openShared(this.places, first, async () => await this.dialer.dial(undefined)).then(dialled => {
+      if (dialled.isErr()) return this.handleOpenFailure(dialled.error)
       this.idle.add(dialled.value)
       this.step({ kind: 'opened' })
     })
@@ -253,14 +253,14 @@
    * Opens a connection for a request that was started without one of its team. Where no room is left, that of a connection which
    * nobody uses is taken.
    */
-  private async openFor (waiter: Waiter): Promise<void> {
+  private async openFor (waiter: BorrowRequest): Promise<void> {
     const { places } = this
-    const ticket = places === undefined ? undefined : await this.turnToOpen(places, waiter)
+    const ticket = places === undefined ? undefined : await this.waitForOpening(places, waiter)
     if (places !== undefined && ticket === undefined) return
     const { id } = waiter
     if (this.idle.size > this.admission.counts.idle) this.makeRoom()
-    const dialled = await this.dials.dial(waiter.wish.team)
-    ticket?.giveBack(dialled.isOk() ? 'done' : isFull(dialled.error) ? 'notSent' : 'broken')
+    const dialled = await this.dialer.dial(waiter.wish.team)
+    ticket?.returnPlace(dialled.isOk() ? 'done' : isEndpointFull(dialled.error) ? 'notSent' : 'broken')
     if (dialled.isOk()) {
       this.lend(dialled.value, waiter)
       return this.step({ kind: 'dialled' })
@@ -269,8 +269,8 @@
     // Room that is left is none any more, so that what comes isn't sent the same way at once.
     const vacant = this.admission.counts.idle - this.idle.size
     if (vacant > 0) this.step({ kind: 'lost', count: vacant })
-    if (!isFull(dialled.error)) {
-      waiter.answer(err({ reason: 'unreachable', retryAfterMs: OUT_MS }))
+    if (!isEndpointFull(dialled.error)) {
+      waiter.answer(err({ reason: 'unreachable', retryAfterMs: UNREACHABLE_RETRY_MS }))
       return this.step({ kind: 'dialFailed' })
     }
     this.thrift = this.thrift.refused(clock.now())
@@ -283,19 +283,19 @@
     const { openConnections: open, counts } = this.admission
     if (open + counts.pending < this.limit) this.step({ kind: 'added' })
     else if (this.places === undefined) this.idle.takeOldest()?.close()
-    else this.idle.takeLeast(clock.now())?.close()
+    else this.idle.takeLeastUsed(clock.now())?.close()
   }
 
   /** Resolves with a place for the opening; undefined once the request is served or refused without. */
-  private async turnToOpen (places: Places, waiter: Waiter): Promise<PlaceTicket | undefined> {
+  private async waitForOpening (places: Places, waiter: BorrowRequest): Promise<PlaceTicket | undefined> {
     const { id, wish: { team }, answer } = waiter
     const own = [...this.loans.values()].filter(({ wish }) => wish.team === team).length
     const hasRoom = this.admission.openConnections + this.admission.counts.pending < this.limit
-    const turn = await this.openings.turn(places, waiter, { own, openings: hasRoom ? 1 : 2 })
+    const turn = await this.openings.waitForTurn(places, waiter, { own, openings: hasRoom ? 1 : 2 })
     if (typeof turn !== 'string') return turn
     if (turn === 'taken') return undefined
     this.step({ kind: 'finished', id, isUsable: true })
-    answer(err({ reason: 'busy', retryAfterMs: OUT_MS }))
+    answer(err({ reason: 'busy', retryAfterMs: UNREACHABLE_RETRY_MS }))
   }
 
   private refuseParked (retryAfterMs: number): void {
@@ -310,19 +310,19 @@
     else this.places = places === undefined ? undefined : this.options.count(places, () => this.admission.queued)
   }
 
-  private notOpened (fault: DialFault): void {
-    if (!isFull(fault)) return this.step({ kind: 'openFailed' })
+  private handleOpenFailure (fault: DialFault): void {
+    if (!isEndpointFull(fault)) return this.step({ kind: 'openFailed' })
     this.thrift = this.thrift.refused(clock.now())
     this.step({ kind: 'openRefused' })
   }
 
-  private ended (link: EndpointLink): void {
+  private handleEnd (link: EndpointLink): void {
     this.loans.get(link)?.ticket?.cancel()
     if (this.idle.remove(link)) this.step({ kind: 'lost', count: 1 })
   }
 
   private drop (link: EndpointLink): void {
-    this.resting.wake(link)
+    this.idleTimeouts.cancel(link)
     if (!this.idle.remove(link)) return
     link.close()
     this.step({ kind: 'lost', count: 1 })
--- a/src/shell/pool/lending/dials.ts
+++ b/src/shell/pool/lending/endpointdialer.ts
@@ -11,7 +11,7 @@
   readonly endpoint: Endpoint
   readonly dialer: Dialer
   /** Told of each try. */
-  readonly onDialled: (outcome: 'opened' | DialFault) => void
+  readonly onDialEnded: (outcome: 'opened' | DialFault) => void
   readonly onOpened: (link: EndpointLink, team: TeamId | undefined) => void
   readonly onEnded: (link: EndpointLink) => void
 }
@@ -19,18 +19,18 @@
 /** An opening takes a handshake and a place in the endpoint's queue; one that takes longer than this has failed. */
 const DIAL_MS = 1000
 
-export class Dials {
+export class EndpointDialer {
   private isClosed = false
 
   private constructor (private readonly options: Options) {}
 
-  static create (options: Options): Dials {
-    return new Dials(options)
+  static create (options: Options): EndpointDialer {
+    return new EndpointDialer(options)
   }
 
   /** `team`: whom the connection serves; undefined for one that serves anybody. */
   async dial (team: TeamId | undefined): Promise<Result<EndpointLink, DialFault>> {
-    const { dialer, endpoint, onDialled, onOpened, onEnded } = this.options
+    const { dialer, endpoint, onDialEnded: onDialled, onOpened, onEnded } = this.options
     const dialled = await dialer.dial(endpoint, team, DIAL_MS)
     onDialled(dialled.isOk() ? 'opened' : dialled.error)
     if (dialled.isErr()) return dialled
--- a/src/shell/pool/lending/idlelinks.ts
+++ b/src/shell/pool/lending/idlelinks.ts
@@ -35,7 +35,7 @@
   }
 
   /** One of the team's connections is lent. */
-  used (team: TeamId | undefined, now: Instant): void {
+  recordUse (team: TeamId | undefined, now: Instant): void {
     if (team !== undefined) this.use.add(team, now)
   }
 
@@ -47,7 +47,7 @@
     return this.links.includes(link)
   }
 
-  hasFor (team: TeamId): boolean {
+  hasTeam (team: TeamId): boolean {
     return this.links.some(link => this.teams.get(link) === team)
   }
 
@@ -82,7 +82,7 @@
   }
 
   /** One of the team whose unused connections serve least, each taking its part; the one that is unused for the longest time among equals. */
-  takeLeast (now: Instant): EndpointLink | undefined {
+  takeLeastUsed (now: Instant): EndpointLink | undefined {
     const counts = new Map<TeamId | undefined, number>()
     for (const link of this.links) counts.set(this.teams.get(link), (counts.get(this.teams.get(link)) ?? 0) + 1)
     const partOf = (link: EndpointLink) => this.use.of(this.teams.get(link), now) / counts.get(this.teams.get(link))!
--- a/src/shell/pool/lending/resting.ts
+++ b/src/shell/pool/lending/idletimeouts.ts
@@ -2,21 +2,21 @@
 
 import type { EndpointLink } from './link.ts'
 
-export class Resting {
+export class IdleTimeouts {
   private readonly timers = new Map<EndpointLink, NodeJS.Timeout>()
 
-  private constructor (private readonly onRested: (link: EndpointLink) => void) {}
+  private constructor (private readonly onTimeout: (link: EndpointLink) => void) {}
 
-  static create (onRested: (link: EndpointLink) => void): Resting {
-    return new Resting(onRested)
+  static create (onRested: (link: EndpointLink) => void): IdleTimeouts {
+    return new IdleTimeouts(onRested)
   }
 
   /** `ms`: how long it's kept; undefined for as long as it lasts. */
   rest (link: EndpointLink, ms: number | undefined): void {
-    if (ms !== undefined) this.timers.set(link, setTimeout(() => this.onRested(link), ms))
+    if (ms !== undefined) this.timers.set(link, setTimeout(() => this.onTimeout(link), ms))
   }
 
-  wake (link: EndpointLink): void {
+  cancel (link: EndpointLink): void {
     clearTimeout(this.timers.get(link))
     this.timers.delete(link)
   }
--- a/src/shell/pool/lending/places.ts
+++ b/src/shell/pool/lending/places.ts
@@ -41,15 +41,15 @@
   readonly aim?: Instant | undefined
 }
 
-type Given = Ending | 'done' | 'notSent'
+type PlaceEnding = Ending | 'done' | 'notSent'
 type Settle = (isGranted: boolean) => void
 
 /** How often what waits is looked through, and the limit with it. */
 const TICK_MS = 10
 /** At most one line in this time says that the endpoint refuses for want of room, and one that something couldn't have a place in time. */
-const LINE_EVERY_MS = 5000
+const LOG_INTERVAL_MS = 5000
 /** Endings without an answer: the true time is longer than it was waited for. */
-const CUT_OFF: ReadonlySet<Given> = new Set<Given>(['broken', 'outOfTime'])
+const UNANSWERED: ReadonlySet<PlaceEnding> = new Set<PlaceEnding>(['broken', 'outOfTime'])
 
 export class Places {
   private readonly gate = PlaceGate.create()
@@ -98,7 +98,7 @@
     this.step({ kind: 'tick' })
   }
 
-  enter ({ rank, caller, what, leftMs, aim }: Wish): PlaceTicket {
+  requestPlace ({ rank, caller, what, leftMs, aim }: Wish): PlaceTicket {
     const id = this.nextId++
     const since = clock.now()
     let grantedAt: Instant | undefined
@@ -108,14 +108,14 @@
       resolve(isGranted)
     }))
     this.step({ kind: 'arrived', order: { id, rank, caller: caller as CallerId, deadline: since + leftMs as Instant, aim, what } })
-    const giveBack = (ending: Given) => {
+    const giveBack = (ending: PlaceEnding) => {
       if (grantedAt === undefined) return this.cancel(id)
       const ms = clock.now() - grantedAt
       if (what !== 'opening' && ending === 'done') this.limit.answered(ms, rank, clock.now())
-      this.gaveBack(id, ending)
+      this.finish(id, ending)
       grantedAt = undefined
     }
-    return { granted, cancel: () => this.cancel(id), giveBack }
+    return { granted, cancel: () => this.cancel(id), returnPlace: giveBack }
   }
 
   /** Tells all that wait that the endpoint is out of reach. */
@@ -136,10 +136,10 @@
     settle(false)
   }
 
-  private gaveBack (id: number, ending: Given): void {
-    if (ending === 'busy') this.shed(clock.now())
+  private finish (id: number, ending: PlaceEnding): void {
+    if (ending === 'busy') this.recordShed(clock.now())
     const isSent = ending !== 'notSent' && ending !== 'busy'
-    this.step({ kind: 'finished', id, ending: !isSent ? 'notSent' : CUT_OFF.has(ending) ? 'cutOff' : 'answered' })
+    this.step({ kind: 'finished', id, ending: !isSent ? 'notSent' : UNANSWERED.has(ending) ? 'cutOff' : 'answered' })
   }
 
   private step (event: PlaceEvent): void {
@@ -150,7 +150,7 @@
     for (const { kind, id } of gate.step(event, limit, now)) {
       const settle = this.pending.get(id)
       this.pending.delete(id)
-      if (kind === 'refuse') this.noteRefused(now)
+      if (kind === 'refuse') this.recordRefused(now)
       settle?.(kind === 'start')
     }
     if (this.gate.waiting > 0) this.ticker.run()
@@ -158,20 +158,20 @@
   }
 
   /** The endpoint has more to do than it takes: other hosts are there too. */
-  private shed (now: Instant): void {
+  private recordShed (now: Instant): void {
     const { metrics, log, endpoint } = this.options
     this.limit.shed(now)
     metrics.placesShed.inc()
-    if (now - this.shedAt < LINE_EVERY_MS) return
+    if (now - this.shedAt < LOG_INTERVAL_MS) return
     this.shedAt = now
     log.write('endpointFull', { endpoint, atWork: this.gate.atWork, waiting: this.gate.waiting })
   }
 
-  private noteRefused (now: Instant): void {
+  private recordRefused (now: Instant): void {
     const { metrics, log, endpoint } = this.options
     metrics.placesRefused.inc()
     this.refused++
-    if (now - this.refusedAt < LINE_EVERY_MS) return
+    if (now - this.refusedAt < LOG_INTERVAL_MS) return
     log.write('placesRefused', { endpoint, count: this.refused, atWork: this.gate.atWork, waiting: this.gate.waiting })
     this.refusedAt = now
     this.refused = 0
--- a/src/shell/pool/lending/placeticket.ts
+++ b/src/shell/pool/lending/placeticket.ts
@@ -9,5 +9,5 @@
   /** Nobody waits for it any more; one that is granted stays. */
   cancel (): void
   /** Gives the place back. `ending`: how what it was taken for ended; `notSent` when nothing went to the endpoint. */
-  giveBack (ending: Ending | 'done' | 'notSent'): void
+  returnPlace (ending: Ending | 'done' | 'notSent'): void
 }
--- a/src/shell/pool/lending/parked.ts
+++ b/src/shell/pool/lending/teamwaitlist.ts
@@ -2,7 +2,7 @@
 
 import type { TeamId } from '../../../core/id/team.ts'
 
-class Seat<T> {
+class Entry<T> {
   /** Resolves once it's left, or taken by a connection that came back. */
   readonly ended: Promise<void>
   isTaken = false
@@ -12,8 +12,8 @@
     this.ended = new Promise(resolve => { this.end = resolve })
   }
 
-  static create<T> (team: TeamId | undefined, rank: number, value: T): Seat<T> {
-    return new Seat(team, rank, value)
+  static create<T> (team: TeamId | undefined, rank: number, value: T): Entry<T> {
+    return new Entry(team, rank, value)
   }
 
   take (): T {
@@ -24,32 +24,32 @@
 }
 
 /** Few at a time: each holds one of a host's connections to the endpoint, or room for one. */
-export class Parked<T> {
-  private seats: Array<Seat<T>> = []
+export class TeamWaitList<T> {
+  private seats: Array<Entry<T>> = []
 
   private constructor () {}
 
-  static create<T> (): Parked<T> {
-    return new Parked()
+  static create<T> (): TeamWaitList<T> {
+    return new TeamWaitList()
   }
 
   countOf (team: TeamId | undefined): number {
     return this.seats.filter(seat => seat.team === team).length
   }
 
-  join (team: TeamId | undefined, rank: number, value: T): Seat<T> {
-    const seat = Seat.create(team, rank, value)
+  join (team: TeamId | undefined, rank: number, value: T): Entry<T> {
+    const seat = Entry.create(team, rank, value)
     this.seats.push(seat)
     return seat
   }
 
-  leave (seat: Seat<T>): void {
+  leave (seat: Entry<T>): void {
     this.seats = this.seats.filter(other => other !== seat)
   }
 
   /** The most urgent of the team, the first among equals; undefined when none of it waits. */
   take (team: TeamId | undefined): T | undefined {
-    let best: Seat<T> | undefined
+    let best: Entry<T> | undefined
     for (const seat of this.seats) {
       if (seat.team === team && (best === undefined || seat.rank < best.rank)) best = seat
     }
--- a/src/shell/pool/load/gauges.ts
+++ b/src/shell/pool/load/gauges.ts
@@ -5,7 +5,7 @@
 import type { LoadPicture } from '../../../core/pool/load/picture.ts'
 
 /** Teams of a group that have a line of their own: names come from a configuration that may hold thousands. */
-const MOST_TEAMS = 3
+const MAX_TEAMS = 3
 
 export function loadGauges (registry: Registry, look: () => LoadPicture): void {
   const waiting: Gauge<'endpoint' | 'class'> = new Gauge({
@@ -28,7 +28,7 @@
     collect: () => {
       asked.reset()
       for (const { group, teams } of look().groups) {
-        for (const { team, done, refused } of teams.slice(0, MOST_TEAMS)) {
+        for (const { team, done, refused } of teams.slice(0, MAX_TEAMS)) {
           asked.set({ group, team, ending: 'done' }, done)
           asked.set({ group, team, ending: 'refused' }, refused)
         }
--- a/src/shell/pool/load/loadport.ts
+++ b/src/shell/pool/load/loadport.ts
@@ -6,7 +6,7 @@
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 import type { Log } from '../../log/log.ts'
 import type { PoolMetrics } from '../metrics.ts'
-import type { LoadWay } from './loadway.ts'
+import type { LoadTransport } from './loadtransport.ts'
 
 interface Options {
   readonly ip: string
@@ -17,10 +17,10 @@
 }
 
 /** Each host takes reports at the port behind the one at which it takes sessions. */
-const BEHIND = 1
+const PORT_OFFSET = 1
 
 /** Datagrams: a report that is lost is followed by the next, and a stream would bring one that is late before those that are new. */
-export class LoadPort implements LoadWay {
+export class LoadPort implements LoadTransport {
   private listener: (report: Report) => void = () => undefined
   private isFailing = false
 
@@ -38,19 +38,19 @@
   }
 
   /** Where a host that takes sessions at the address takes reports. */
-  static behind ({ ip, port }: PoolHost['address']): PoolHost['address'] {
-    return { ip, port: port + BEHIND }
+  static reportAddress ({ ip, port }: PoolHost['address']): PoolHost['address'] {
+    return { ip, port: port + PORT_OFFSET }
   }
 
-  onHeard (listener: (report: Report) => void): void {
+  onReport (listener: (report: Report) => void): void {
     this.listener = listener
   }
 
-  tell (hosts: readonly PoolHost[], report: Report): void {
+  send (hosts: readonly PoolHost[], report: Report): void {
     if (this.options.signal.aborted) return
     const message = Buffer.from(reportLine.encode(report))
     for (const { address } of hosts) {
-      const { ip, port } = LoadPort.behind(address)
+      const { ip, port } = LoadPort.reportAddress(address)
       this.socket.send(message, port, ip, error => this.sent(error))
     }
   }
--- a/src/shell/pool/load/reporter.test.ts
+++ b/src/shell/pool/load/loadreporter.test.ts
@@ -13,7 +13,7 @@
 import { Ownerships } from '../../../core/pool/placing/ownerships.ts'
 import { Log } from '../../log/log.ts'
 import { PoolMetrics } from '../metrics.ts'
-import { Reporter } from './reporter.ts'
+import { LoadReporter } from './loadreporter.ts'
 import { SharedLoad } from './sharedload.ts'
 
 const G = 'g' as GroupId
@@ -55,11 +55,11 @@
   /** Starts the host, or once more in another life. */
   start (name: string): void {
     const owner = new Owner()
-    owner.sharedLoad.among([...this.names].filter(id => id !== name).map(hostOf))
-    const reporter = Reporter.create({
+    owner.sharedLoad.setOwners([...this.names].filter(id => id !== name).map(hostOf))
+    const reporter = LoadReporter.create({
       self: name as HostId,
-      life: this.now,
-      way: { onHeard: listener => { owner.hear = listener }, tell: (hosts, report) => hosts.forEach(({ id }) => this.carry(name, id, report)) },
+      incarnation: this.now,
+      transport: { onReport: listener => { owner.hear = listener }, send: (hosts, report) => hosts.forEach(({ id }) => this.carry(name, id, report)) },
       groups: () => [owner],
       group: () => owner,
       now: () => this.now as Instant,
@@ -67,7 +67,7 @@
       log: Log.silent,
       metrics: PoolMetrics.create()
     })
-    owner.look = () => reporter.look()
+    owner.look = () => reporter.tick()
     this.owners.set(name, owner)
   }
 
@@ -186,7 +186,7 @@
     const owners = new Owners('abc')
     owners.at('a').atWork = 4
     owners.run(200)
-    owners.at('b').sharedLoad.among([hostOf('c')])
+    owners.at('b').sharedLoad.setOwners([hostOf('c')])
     owners.run(100)
     expect([owners.seen('b'), owners.seen('c')]).toEqual(['0: 0', '1: 4'])
   })
--- a/src/shell/pool/load/reporter.ts
+++ b/src/shell/pool/load/loadreporter.ts
@@ -7,7 +7,7 @@
 import type { Report } from '../../../core/pool/load/report.ts'
 import type { Log } from '../../log/log.ts'
 import type { PoolMetrics } from '../metrics.ts'
-import type { LoadWay } from './loadway.ts'
+import type { LoadTransport } from './loadtransport.ts'
 import type { SharedLoad } from './sharedload.ts'
 
 interface LoadedGroup {
@@ -20,8 +20,8 @@
 interface Options {
   readonly self: HostId
   /** Greater than in the earlier lives of this host. */
-  readonly life: number
-  readonly way: LoadWay
+  readonly incarnation: number
+  readonly transport: LoadTransport
   readonly groups: () => Iterable<LoadedGroup>
   readonly group: (id: GroupId) => LoadedGroup | undefined
   /** The clock by which ages of reports are told, */
@@ -33,46 +33,46 @@
 }
 
 /** A host that looks so much later than before stood still: what came in meanwhile lies unread, and may be as old. Milliseconds. */
-const STILL_MS = 300
+const SUSPENDED_MS = 300
 
-export class Reporter {
-  private lookedAt: Instant
+export class LoadReporter {
+  private tickedAt: Instant
   /** Whether what lay unread while this host stood still is being read now. */
   private isCatchingUp = false
   private number = 0
 
   private constructor (private readonly options: Options) {
-    this.lookedAt = options.age()
-    options.way.onHeard(report => this.heard(report))
+    this.tickedAt = options.age()
+    options.transport.onReport(report => this.heard(report))
   }
 
-  static create (options: Options): Reporter {
-    return new Reporter(options)
+  static create (options: Options): LoadReporter {
+    return new LoadReporter(options)
   }
 
   /** To be called about as often as load is reported. */
-  look (): void {
+  tick (): void {
     const { groups, age } = this.options
-    const stoodMs = age() - this.lookedAt
-    this.lookedAt = age()
-    this.isCatchingUp = stoodMs >= STILL_MS
+    const stoodMs = age() - this.tickedAt
+    this.tickedAt = age()
+    this.isCatchingUp = stoodMs >= SUSPENDED_MS
     for (const group of groups()) {
       if (group.sharedLoad.others.length === 0) continue
-      if (this.isCatchingUp) group.sharedLoad.forget()
-      this.noteSilent(group)
-      this.tell(group)
+      if (this.isCatchingUp) group.sharedLoad.reset()
+      this.logSilentOwners(group)
+      this.report(group)
     }
   }
 
-  private noteSilent ({ id, sharedLoad }: LoadedGroup): void {
+  private logSilentOwners ({ id, sharedLoad }: LoadedGroup): void {
     const { now, log } = this.options
-    for (const owner of sharedLoad.lapse(now())) log.write('ownerSilent', { group: id, owner })
+    for (const owner of sharedLoad.expire(now())) log.write('ownerSilent', { group: id, owner })
   }
 
-  private tell ({ id, loads, sharedLoad }: LoadedGroup): void {
-    const { self, life, way, now } = this.options
-    if (!sharedLoad.take(loads, now())) return
-    way.tell(sharedLoad.others, { life, load: { host: self, group: id, number: ++this.number, endpoints: loads } })
+  private report ({ id, loads, sharedLoad }: LoadedGroup): void {
+    const { self, incarnation: life, transport: way, now } = this.options
+    if (!sharedLoad.takeIfDue(loads, now())) return
+    way.send(sharedLoad.others, { life, load: { host: self, group: id, number: ++this.number, endpoints: loads } })
   }
 
   /**
--- a/src/shell/pool/load/picture.ts
+++ b/src/shell/pool/load/loadsnapshotof.ts
@@ -6,12 +6,12 @@
 import type { PoolGroup } from '../group.ts'
 
 /** Groups that this host neither owns nor was asked for are left out: their owners tell of them. */
-export function pictureOf (host: HostId, groups: Iterable<PoolGroup>): LoadPicture {
+export function loadSnapshotOf (host: HostId, groups: Iterable<PoolGroup>): LoadPicture {
   const now = clock.now()
   return LoadPicture.of(host, [...groups].flatMap(group => {
-    const { teams, rest } = group.use.largest(LoadPicture.mostTeams, now)
-    const { id, seen, isOwned } = group
+    const { teams, rest } = group.usage.largest(LoadPicture.mostTeams, now)
+    const { id, endpointStats: seen, isOwned } = group
     if (!isOwned && teams.length === 0) return []
-    return [{ group: id, owners: isOwned ? 1 : 0, classes: [...group.use.classes(now)], teams: [...teams], rest, endpoints: [...seen] }]
+    return [{ group: id, owners: isOwned ? 1 : 0, classes: [...group.usage.classes(now)], teams: [...teams], rest, endpoints: [...seen] }]
   }))
 }
--- a/src/shell/pool/load/loadway.ts
+++ b/src/shell/pool/load/loadtransport.ts
@@ -3,9 +3,9 @@
 import type { Report } from '../../../core/pool/load/report.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 
-export interface LoadWay {
+export interface LoadTransport {
   /** Who is told what other hosts report. */
-  onHeard (listener: (report: Report) => void): void
+  onReport (listener: (report: Report) => void): void
   /** Nothing tells whether it arrives. */
-  tell (hosts: readonly PoolHost[], report: Report): void
+  send (hosts: readonly PoolHost[], report: Report): void
 }
--- a/src/shell/pool/load/refusals.test.ts
+++ b/src/shell/pool/load/refusallog.test.ts
@@ -5,7 +5,7 @@
 import { Log } from '../../log/log.ts'
 import { PoolMetrics } from '../metrics.ts'
 import { loadGauges } from './gauges.ts'
-import { Refusals } from './refusals.ts'
+import { RefusalLog } from './refusallog.ts'
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
@@ -28,7 +28,7 @@
 ])('in a period in which %s', (_name, picture, expected) => {
   const lines: string[] = []
   const stop = new AbortController()
-  Refusals.start({ look: () => picture, log: Log.to(line => lines.push(line)) }, stop.signal)
+  RefusalLog.start({ look: () => picture, log: Log.to(line => lines.push(line)) }, stop.signal)
   vi.advanceTimersByTime(10_000)
   stop.abort()
   vi.advanceTimersByTime(60_000)
--- a/src/shell/pool/load/refusals.ts
+++ b/src/shell/pool/load/refusallog.ts
@@ -12,32 +12,32 @@
 type Group = LoadPicture['groups'][number]
 
 /** As long as the counts reach back, so that a refusal is told once or twice and never more often than this. */
-const EVERY_MS = 10_000
+const LOG_INTERVAL_MS = 10_000
 /** Groups that are told of in a period, those that refuse most: an outage of all of many must not fill the log. */
-const MOST_GROUPS = 8
+const MAX_GROUPS = 8
 /** Teams that are named in a line. */
-const MOST_TEAMS = 3
+const MAX_TEAMS = 3
 
-export class Refusals {
+export class RefusalLog {
   private constructor (private readonly options: Options) {}
 
   static start (options: Options, signal: AbortSignal): void {
-    const it = new Refusals(options)
-    const timer = setInterval(() => it.tell(), EVERY_MS)
+    const it = new RefusalLog(options)
+    const timer = setInterval(() => it.logRefusals(), LOG_INTERVAL_MS)
     timer.unref()
     signal.addEventListener('abort', () => clearInterval(timer), { once: true })
   }
 
-  private tell (): void {
+  private logRefusals (): void {
     const { look, log } = this.options
     const refusing = look().groups.filter(group => refusedBy(group) > 0).sort((a, b) => refusedBy(b) - refusedBy(a))
-    for (const group of refusing.slice(0, MOST_GROUPS)) {
+    for (const group of refusing.slice(0, MAX_GROUPS)) {
       log.write('groupRefuses', {
         group: group.group,
         done: group.classes.reduce((sum, { done }) => sum + done, 0),
         refused: refusedBy(group),
         byClass: group.classes.map(({ refused }, rank) => `${classes[rank]} ${refused}`).join(', '),
-        largest: group.teams.slice(0, MOST_TEAMS).map(({ team, done, refused }) => `${team} ${done} done ${refused} refused`).join(', '),
+        largest: group.teams.slice(0, MAX_TEAMS).map(({ team, done, refused }) => `${team} ${done} done ${refused} refused`).join(', '),
         groups: refusing.length
       })
     }
--- a/src/shell/pool/load/sharedload.ts
+++ b/src/shell/pool/load/sharedload.ts
@@ -13,7 +13,7 @@
 /** The only place where the pure values are replaced. */
 export class SharedLoad implements OthersLoad {
   private board = LoadBoard.empty
-  private told = Told.nothing
+  private lastReport = Told.nothing
   private owners: readonly PoolHost[] = []
 
   private constructor () {}
@@ -27,7 +27,7 @@
     return this.owners
   }
 
-  among (others: readonly PoolHost[]): void {
+  setOwners (others: readonly PoolHost[]): void {
     this.owners = others
     this.board = this.board.among(others.map(({ id }) => id))
   }
@@ -41,21 +41,21 @@
   }
 
   /** Drops what counts no more, and tells which owners went silent with load since this was last asked. */
-  lapse (now: Instant): readonly HostId[] {
+  expire (now: Instant): readonly HostId[] {
     const silent = this.board.silent(now)
     this.board = this.board.current(now)
     return silent
   }
 
   /** As if no report had come. */
-  forget (): void {
+  reset (): void {
     this.board = LoadBoard.empty.among(this.owners.map(({ id }) => id))
   }
 
   /** Whether to tell the others now; a yes counts as told. */
-  take (loads: readonly EndpointLoad[], now: Instant): boolean {
-    if (!this.told.isDue(loads, this.owners.length, now)) return false
-    this.told = this.told.with(loads, now)
+  takeIfDue (loads: readonly EndpointLoad[], now: Instant): boolean {
+    if (!this.lastReport.isDue(loads, this.owners.length, now)) return false
+    this.lastReport = this.lastReport.with(loads, now)
     return true
   }
 }
--- a/src/shell/pool/membership/configuration.ts
+++ b/src/shell/pool/membership/configuration.ts
@@ -15,10 +15,10 @@
   readonly parse: (text: string) => Result<PoolConfig, string>
 }
 
-const NONE = PoolConfig.of({ version: 0 as ConfigVersion, routes: [], groups: [], idleTransactionMs: 0 })
+const EMPTY = PoolConfig.of({ version: 0 as ConfigVersion, routes: [], groups: [], idleTransactionMs: 0 })
 
 export class Configuration {
-  private current = NONE
+  private current = EMPTY
   private wasRead = false
 
   private constructor (private readonly options: Options) {}
@@ -37,7 +37,7 @@
   }
 
   /** Whether a newer version came into force; an older one never does again, whoever offers it. */
-  take (rows: readonly Row[]): boolean {
+  apply (rows: readonly Row[]): boolean {
     const { log, metrics, key, parse } = this.options
     const newest = rows.findLast(row => row.key === key)
     if (newest?.value === undefined) return false
--- a/src/shell/pool/membership/listing.ts
+++ b/src/shell/pool/membership/endpointlisting.ts
@@ -15,19 +15,19 @@
   readonly onChange: () => void
 }
 
-export class Listing {
-  private known = Directory.empty
+export class EndpointListing {
+  private current = Directory.empty
   private lapses = MissingEndpoints.empty
   private wasRead = false
 
   private constructor (private readonly options: Options) {}
 
-  static create (options: Options): Listing {
-    return new Listing(options)
+  static create (options: Options): EndpointListing {
+    return new EndpointListing(options)
   }
 
   get directory (): Directory {
-    return this.known
+    return this.current
   }
 
   /** Whether the list was read once. */
@@ -36,46 +36,46 @@
   }
 
   /** Rows that changed, erased ones among them. */
-  take (rows: readonly Row[]): void {
-    for (const row of rows) this.list(row)
+  applyRows (rows: readonly Row[]): void {
+    for (const row of rows) this.applyRow(row)
     this.wasRead = true
     this.options.onChange()
   }
 
   /** To be called now and then: drops those that lapsed and didn't come back. */
-  forgetLapsed (): void {
+  removeLapsed (): void {
     const due = this.lapses.expired(clock.now())
     if (due.length === 0) return
-    for (const id of due) this.forget(id)
+    for (const id of due) this.remove(id)
     this.options.onChange()
   }
 
-  private list ({ key, value, version }: Row): void {
+  private applyRow ({ key, value, version }: Row): void {
     const id = key as EndpointId
     if (value === undefined) return this.gone(id)
     const { log, parse } = this.options
     const endpoint = parse(key, value)
     if (endpoint === undefined) {
       log.write('endpointUnreadable', { endpoint: id, version })
-      return this.forget(id)
+      return this.remove(id)
     }
-    const old = this.known.get(id)
+    const old = this.current.get(id)
     const isNews = old === undefined || old.isLeaving !== endpoint.isLeaving || old.isPrimary !== endpoint.isPrimary || old.startedAtMs !== endpoint.startedAtMs
     if (isNews) log.write('endpointListed', { endpoint: id, group: endpoint.group, isLeaving: endpoint.isLeaving, isPrimary: endpoint.isPrimary, version })
     this.lapses = this.lapses.without(id)
-    this.known = this.known.with(endpoint, version)
+    this.current = this.current.with(endpoint, version)
   }
 
   private gone (id: EndpointId): void {
-    const endpoint = this.known.get(id)
+    const endpoint = this.current.get(id)
     if (endpoint === undefined) return
     this.options.log.write('endpointGone', { endpoint: id, group: endpoint.group, isLeaving: endpoint.isLeaving })
-    if (endpoint.isLeaving) this.forget(id)
+    if (endpoint.isLeaving) this.remove(id)
     else this.lapses = this.lapses.with(id, clock.now())
   }
 
-  private forget (id: EndpointId): void {
+  private remove (id: EndpointId): void {
     this.lapses = this.lapses.without(id)
-    this.known = this.known.without(id)
+    this.current = this.current.without(id)
   }
 }
--- a/src/shell/pool/membership/wordline.ts
+++ b/src/shell/pool/membership/messagecodec.ts
@@ -9,7 +9,7 @@
 import { readJson } from '../../../core/readjson.ts'
 
 /** From here on compressing saves more of a link than it takes of a processor: a configuration of 300 KB shrinks to a tenth. Characters. */
-const LONG = 2000
+const COMPRESS_FROM_CHARACTERS = 2000
 
 const versions = z.partialRecord(z.enum(tableNames), z.number())
 const row = z.object({ key: z.string(), version: z.number(), value: z.string().optional() }).transform(({ key, version, value }) => ({ key, version, value }))
@@ -34,13 +34,13 @@
 /** A reader tells the same word to all who follow it, so it's made into a line once. */
 const encoded = new WeakMap<Word, string>()
 
-export const wordLine = {
+export const messageCodec = {
   /** With its end. */
   encode (said: Word): string {
     const known = encoded.get(said)
     if (known !== undefined) return known
     const text = JSON.stringify(said)
-    const line = text.length < LONG ? `${text}\n` : `${JSON.stringify({ packed: deflateRawSync(text).toString('base64') })}\n`
+    const line = text.length < COMPRESS_FROM_CHARACTERS ? `${text}\n` : `${JSON.stringify({ packed: deflateRawSync(text).toString('base64') })}\n`
     encoded.set(said, line)
     return line
   },
--- a/src/shell/pool/membership/wordlink.ts
+++ b/src/shell/pool/membership/messagelink.ts
@@ -4,23 +4,23 @@
 import { StringDecoder } from 'node:string_decoder'
 import type { LinkId } from '../../../core/pool/membership/linkid.ts'
 import type { Word } from '../../../core/pool/membership/word.ts'
-import { wordLine } from './wordline.ts'
+import { messageCodec } from './messagecodec.ts'
 
 interface Listeners {
   readonly onOpen?: () => void
-  readonly onWord: (word: Word) => void
+  readonly onMessage: (word: Word) => void
   /** Once, and not after `close`. */
   readonly onEnd: () => void
 }
 
 /** A configuration with a hundred thousand databases, compressed; a longer line is none of ours. Characters. */
-const MOST_CHARACTERS = 16_777_216
+const MAX_LINE_CHARACTERS = 16_777_216
 
 /**
  * Lines over a connection of its own, in place of a stream of the house's library between processes: its modules would be
  * loaded at each start, which is time without service, and nothing here needs its codecs.
  */
-export class WordLink {
+export class MessageLink {
   private readonly decoder = new StringDecoder('utf8')
   private rest = ''
   private isEnded = false
@@ -33,17 +33,17 @@
     socket.on('close', () => this.end())
   }
 
-  static dial (to: LinkId, listeners: Listeners): WordLink {
+  static dial (to: LinkId, listeners: Listeners): MessageLink {
     const colon = to.lastIndexOf(':')
-    return new WordLink(connect({ host: to.slice(0, colon), port: Number(to.slice(colon + 1)) }), listeners)
+    return new MessageLink(connect({ host: to.slice(0, colon), port: Number(to.slice(colon + 1)) }), listeners)
   }
 
-  static of (socket: Socket, listeners: Listeners): WordLink {
-    return new WordLink(socket, listeners)
+  static of (socket: Socket, listeners: Listeners): MessageLink {
+    return new MessageLink(socket, listeners)
   }
 
-  say (word: Word): void {
-    if (!this.isEnded) this.socket.write(wordLine.encode(word))
+  send (word: Word): void {
+    if (!this.isEnded) this.socket.write(messageCodec.encode(word))
   }
 
   close (): void {
@@ -56,12 +56,12 @@
     this.rest = lines.pop()!
     for (const line of lines) {
       if (this.isEnded) return
-      const word = wordLine.decode(line)
+      const word = messageCodec.decode(line)
       // What can't be read may hold anything, also the end of a row, so the link begins anew.
       if (word === undefined) return this.end()
-      this.listeners.onWord(word)
+      this.listeners.onMessage(word)
     }
-    if (this.rest.length > MOST_CHARACTERS) this.end()
+    if (this.rest.length > MAX_LINE_CHARACTERS) this.end()
   }
 
   private end (): void {
--- a/src/shell/pool/membership/tables.ts
+++ b/src/shell/pool/membership/tablereplicator.ts
@@ -17,9 +17,9 @@
 import { clock } from '../clock.ts'
 import type { PoolMetrics } from '../metrics.ts'
 import { Waiters } from '../waiters.ts'
-import { Copies } from './copies.ts'
-import type { RowStore } from './rows.ts'
-import { WordLink } from './wordlink.ts'
+import { ConfigCopy } from './configcopy.ts'
+import type { RowStore } from './rowstore.ts'
+import { MessageLink } from './messagelink.ts'
 
 interface Options {
   readonly self: PoolHost
@@ -32,16 +32,16 @@
   /** What the tables are called in the store. */
   readonly names: Readonly<Record<TableName, string>>
   /** Where the copy of the configuration lies. */
-  readonly copies: string
+  readonly copyTable: string
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly chance: () => number
   /** Rows changed, erased ones among them; `isFirst`: the table wasn't known before. */
-  readonly onNews: (table: TableName, rows: readonly Row[], isFirst: boolean) => void
+  readonly onRows: (table: TableName, rows: readonly Row[], isFirst: boolean) => void
   /** The hosts that are alive changed. */
-  readonly onHosts: () => void
+  readonly onHostsChange: () => void
   /** Once, when what is known is enough to serve. */
-  readonly onEnough: () => void
+  readonly onReady: () => void
 }
 
 type Ask = Extract<ControlAction, { kind: 'ask' }>
@@ -51,28 +51,28 @@
 const TICK_MS = 100
 /** A host that leaves tells others, or writes to the store, within this time; the shortest grace that is known leaves 0.8 s for all that is done at the end. */
 const LEAVE_MS = 300
-const LOOK_MS = 10
+const LEAVE_POLL_MS = 10
 /** The copy is there within this time, on a link of 7 Mbit/s and beside a start's work; later the operator's row is read, which takes 0.4 s on such a link. */
 const COPY_MS = 100
 
-export class Tables {
+export class TableReplicator {
   private control: Control
-  private readonly sources = new Map<LinkId, WordLink>()
-  private readonly followers = new Map<number, WordLink>()
+  private readonly sources = new Map<LinkId, MessageLink>()
+  private readonly followers = new Map<number, MessageLink>()
   private links = 0
   private readonly events: ControlEvent[] = []
   private isStepping = false
-  private wasEnough = false
+  private wasReady = false
   private readonly failing = new Set<TableName>()
   private why: Ask['why'] | 'others' = 'others'
   /** Those who wait for rows that another host has. */
   private readonly waiting = Waiters.create()
 
-  private readonly copies: Copies
+  private readonly configCopy: ConfigCopy
 
   private constructor (private readonly options: Options, private readonly signal: AbortSignal) {
-    const { store, copies: table, metrics } = options
-    this.copies = Copies.create({ store, table, metrics })
+    const { store, copyTable: table, metrics } = options
+    this.configCopy = ConfigCopy.create({ store, table, metrics })
     const { self, pace, seeds, isFirstStart } = options
     const own = linkOf(self)
     // A host that starts anew contradicts what was said of its life before, whatever the time of day says by then.
@@ -81,8 +81,8 @@
   }
 
   /** Runs until the signal. */
-  static start (options: Options, signal: AbortSignal): Tables {
-    const tables = new Tables(options, signal)
+  static start (options: Options, signal: AbortSignal): TableReplicator {
+    const tables = new TableReplicator(options, signal)
     tables.listen()
     const timer = setInterval(() => tables.step({ kind: 'tick' }), TICK_MS)
     signal.addEventListener('abort', () => {
@@ -90,7 +90,7 @@
       for (const link of [...tables.sources.values(), ...tables.followers.values()]) link.close()
     })
     // At the first start of the whole system nobody has made a copy yet, and each host would ask for it.
-    if (!options.isFirstStart) tables.copies.look(signal)
+    if (!options.isFirstStart) tables.configCopy.prefetch(signal)
     tables.step({ kind: 'tick' })
     return tables
   }
@@ -101,8 +101,8 @@
   }
 
   /** Whether what is known is enough to serve; once it is, it stays so. */
-  get isEnough (): boolean {
-    return this.wasEnough
+  get isReady (): boolean {
+    return this.wasReady
   }
 
   /** Whether every table is known. */
@@ -125,7 +125,7 @@
   async leave (): Promise<void> {
     this.step({ kind: 'leave' })
     const until = clock.now() + LEAVE_MS
-    while (this.control.isWriting && clock.now() < until) await pause(LOOK_MS)
+    while (this.control.isWriting && clock.now() < until) await pause(LEAVE_POLL_MS)
   }
 
   /** One after the other, since what an event brings about may be another event, and words must leave in their order. */
@@ -140,13 +140,13 @@
       for (const action of stepped.actions) this.act(action)
     }
     this.isStepping = false
-    if (this.wasEnough || !this.control.isEnough(clock.now())) return
-    this.wasEnough = true
-    this.options.onEnough()
+    if (this.wasReady || !this.control.isEnough(clock.now())) return
+    this.wasReady = true
+    this.options.onReady()
   }
 
   private act (action: ControlAction): void {
-    const { log, onNews, onHosts } = this.options
+    const { log, onRows: onNews, onHostsChange: onHosts } = this.options
     switch (action.kind) {
       case 'news': {
         onNews(action.table, action.rows, action.isFirst)
@@ -162,7 +162,7 @@
         return
       }
       case 'copy': {
-        this.copies.write(action, this.signal).then(isDone => this.step({ kind: 'copied', isDone }))
+        this.configCopy.write(action, this.signal).then(isDone => this.step({ kind: 'copied', isDone }))
         return
       }
       case 'open': return this.open(action.link)
@@ -172,8 +172,8 @@
         this.sources.delete(action.link)
         return
       }
-      case 'say': return this.sources.get(action.link)?.say(action.word)
-      case 'tell': return this.followers.get(action.link)?.say(action.word)
+      case 'say': return this.sources.get(action.link)?.send(action.word)
+      case 'tell': return this.followers.get(action.link)?.send(action.word)
       case 'drop': {
         this.followers.get(action.link)?.close()
         this.followers.delete(action.link)
@@ -186,11 +186,11 @@
     if (why !== this.why) log.write('storeAsked', { why, before: this.why })
     this.why = why
     const askedAt = clock.age()
-    const copied = table === 'config' && after === undefined ? await this.copied() : undefined
+    const copied = table === 'config' && after === undefined ? await this.readCopy() : undefined
     if (copied !== undefined) return this.step({ kind: 'answered', table, isWhole: true, askedAt, ...copied })
     metrics.storeCalls.inc({ call: after === undefined ? 'read' : 'changes', table, why })
     const answer = after === undefined ? await store.read(names[table], this.signal) : await store.changes(names[table], after, waitMs, this.signal)
-    this.notice(table, answer.isErr() && answer.error !== 'forgotten')
+    this.recordOutcome(table, answer.isErr() && answer.error !== 'forgotten')
     if (answer.isOk()) return this.step({ kind: 'answered', table, isWhole: after === undefined, askedAt, ...answer.value })
     this.step({ kind: answer.error === 'forgotten' ? 'forgotten' : 'failed', table })
   }
@@ -201,9 +201,9 @@
    * Guard against a start that waits for the copy in an outage of this system's own tables: the operator's row is there meanwhile. It showed as
    * 0.75 s, the limit of a call, without service at each of seven hosts.
    */
-  private async copied (): Promise<{ readonly rows: readonly Row[], readonly version: number, readonly storeMs: number } | undefined> {
+  private async readCopy (): Promise<{ readonly rows: readonly Row[], readonly version: number, readonly storeMs: number } | undefined> {
     const { store, names, metrics } = this.options
-    const copy = await Promise.race([this.copies.read(), pause(COPY_MS, undefined)])
+    const copy = await Promise.race([this.configCopy.read(), pause(COPY_MS, undefined)])
     if (copy === undefined) return undefined
     metrics.storeCalls.inc({ call: 'changes', table: 'config', why: 'copy' })
     const changed = await store.changes(names.config, copy.version, 0, this.signal)
@@ -212,7 +212,7 @@
     return { rows: next.rows, version: changed.value.version, storeMs: changed.value.storeMs }
   }
 
-  private notice (table: TableName, isFailed: boolean): void {
+  private recordOutcome (table: TableName, isFailed: boolean): void {
     const { log, metrics } = this.options
     if (isFailed) metrics.storeFailures.inc({ table })
     if (isFailed === this.failing.has(table)) return
@@ -230,9 +230,9 @@
   }
 
   private open (link: LinkId): void {
-    const opened = WordLink.dial(link, {
+    const opened = MessageLink.dial(link, {
       onOpen: () => this.step({ kind: 'opened', link }),
-      onWord: word => {
+      onMessage: word => {
         if (word.kind === 'rows' || word.kind === 'beat' || word.kind === 'welcome') this.step({ kind: 'told', link, word })
       },
       onEnd: () => {
@@ -248,8 +248,8 @@
     const { address: { ip: host }, linkPort: port } = this.options.self
     const server = createServer(socket => {
       const link = ++this.links
-      this.followers.set(link, WordLink.of(socket, {
-        onWord: word => {
+      this.followers.set(link, MessageLink.of(socket, {
+        onMessage: word => {
           if (word.kind === 'follow' || word.kind === 'alive') this.step({ kind: 'spoke', link, word })
         },
         onEnd: () => {
--- a/src/shell/pool/node.ts
+++ b/src/shell/pool/node.ts
@@ -11,17 +11,17 @@
 import { LineBudget } from '../../core/pool/statements/linebudget.ts'
 import { MissedHosts } from '../../core/pool/placing/missedhosts.ts'
 import { SharedRetryBudget } from '../../core/retry/sharedretrybudget.ts'
-import { Issuing } from './allowance/issuing.ts'
+import { AllowanceService } from './allowance/allowanceservice.ts'
 import { clock } from './clock.ts'
 import type { PoolContext } from './context.ts'
 import { Configuration } from './membership/configuration.ts'
 import { PoolGroups } from './groups.ts'
-import type { LoadWay } from './load/loadway.ts'
-import { Reporter } from './load/reporter.ts'
-import { pictureOf } from './load/picture.ts'
-import { Listing } from './membership/listing.ts'
+import type { LoadTransport } from './load/loadtransport.ts'
+import { LoadReporter } from './load/loadreporter.ts'
+import { loadSnapshotOf } from './load/loadsnapshotof.ts'
+import { EndpointListing } from './membership/endpointlisting.ts'
 import type { NodeOptions } from './nodeoptions.ts'
-import { Tables } from './membership/tables.ts'
+import { TableReplicator } from './membership/tablereplicator.ts'
 import { Waiters } from './waiters.ts'
 
 /** Where what hosts tell each other through the store lies: leases, objections and handovers; */
@@ -31,11 +31,11 @@
 /** The copy of the configuration. */
 const COPIES_TABLE = 'agatepond-copies'
 /** A host that is asked for something newer answers in milliseconds; one that doesn't must not hold a sign-in up. */
-const CONSULT_MS = 300
+const CATCH_UP_MS = 300
 /** How often each group's primary is looked at, and its load is told. */
 const TICK_MS = 100
 /** How often it's looked whether the hosts that issue tokens are there. */
-const APPOINT_MS = 500
+const ISSUER_CHECK_MS = 500
 
 export class PoolNode {
   /** Where what hosts tell each other through the store lies. */
@@ -44,69 +44,69 @@
   static readonly rollTable = ROLL_TABLE
   readonly context: PoolContext
   private readonly groups: PoolGroups
-  private readonly listing: Listing
-  private readonly tables: Tables
+  private readonly listing: EndpointListing
+  private readonly tableReplicator: TableReplicator
   private readonly configuration: Configuration
-  private missed = MissedHosts.none
+  private unreachableHosts = MissedHosts.none
   /** Callers who came before the process was ready. */
-  private readonly starting = Waiters.create()
+  private readonly startWaiters = Waiters.create()
   private readonly startedAt = clock.now()
 
   private readonly pace: Pace
-  private readonly issuing: Issuing | undefined
-  private readonly reporter: Reporter | undefined
+  private readonly allowanceService: AllowanceService | undefined
+  private readonly reporter: LoadReporter | undefined
 
   private constructor (private readonly options: NodeOptions, private readonly signal: AbortSignal) {
     const { log, metrics } = options
     this.pace = Pace.of(options)
-    this.issuing = options.allowances === undefined ? undefined : this.createIssuing(options.allowances)
+    this.allowanceService = options.allowances === undefined ? undefined : this.createAllowanceService(options.allowances)
     this.context = {
       config: () => this.config,
       whenReady: async ms => await this.whenReady(ms),
       self: options.self.id,
-      catchUp: async (version, host) => await this.catchUp(version, host),
+      catchUpConfig: async (version, host) => await this.catchUpConfig(version, host),
       permission: (route, key) => {
         const { config } = this
-        return permissionOf({ isOpen: config.isOpen(route), holder: config.holderOf(key), ageMs: this.tables.ageMs('config') }, this.pace)
+        return permissionOf({ isOpen: config.isOpen(route), holder: config.holderOf(key), ageMs: this.tableReplicator.ageMs('config') }, this.pace)
       },
-      allowances: this.issuing?.allowances,
-      placesFor: (database, key) => this.placesFor(database, key),
-      missedHost: id => { this.missed = this.missed.with(id, clock.now()) },
+      allowances: this.allowanceService?.allowances,
+      forwardingTargets: (database, key) => this.forwardingTargets(database, key),
+      reportUnreachableHost: id => { this.unreachableHosts = this.unreachableHosts.with(id, clock.now()) },
       dialHost: async (host, database, key, ms) => await options.platform.dialer.dialHost(host, database, this.config.version, key, ms),
       group: id => this.groups.get(id),
-      budget: SharedRetryBudget.create(clock.now()),
-      lines: LineBudget.create(clock.now()),
+      retryBudget: SharedRetryBudget.create(clock.now()),
+      lineBudget: LineBudget.create(clock.now()),
       log,
       metrics,
       auditor: options.auditor
     }
     this.configuration = Configuration.create({ log, metrics, ...options.platform.config })
-    this.listing = Listing.create({ log, parse: options.platform.endpoints.parse, onChange: () => this.groups.listed() })
+    this.listing = EndpointListing.create({ log, parse: options.platform.endpoints.parse, onChange: () => this.groups.updateDirectory() })
     this.groups = PoolGroups.create({
       ...options, table: TABLE, startedAt: this.startedAt, config: () => this.config, directory: () => this.listing.directory, hosts: () => this.hosts, signal
     })
-    this.reporter = options.loads === undefined ? undefined : this.createReporter(options.loads)
-    this.tables = Tables.start({
+    this.reporter = options.loadTransport === undefined ? undefined : this.createReporter(options.loadTransport)
+    this.tableReplicator = TableReplicator.start({
       self: options.self,
       pace: this.pace,
       seeds: options.seeds,
       isFirstStart: options.isFirstStart,
       store: options.platform.store,
       names: { config: options.platform.config.table, endpoints: options.platform.endpoints.table, shared: TABLE, roll: ROLL_TABLE },
-      copies: COPIES_TABLE,
+      copyTable: COPIES_TABLE,
       log,
       metrics,
       chance: options.chance,
-      onNews: (table, rows) => this.heard(table, rows),
-      onHosts: () => this.hostsChanged(),
-      onEnough: () => this.letIn()
+      onRows: (table, rows) => this.heard(table, rows),
+      onHostsChange: () => this.hostsChanged(),
+      onReady: () => this.wakeIfReady()
     }, signal)
   }
 
   /** Runs until the signal. */
   static start (options: NodeOptions, signal: AbortSignal): PoolNode {
     const node = new PoolNode(options, signal)
-    node.watch()
+    node.startTimers()
     return node
   }
 
@@ -123,16 +123,16 @@
    * wait for one (a second and a half with 88 hosts).
    */
   get isReady (): boolean {
-    return this.configuration.isKnown && this.tables.isEnough
+    return this.configuration.isKnown && this.tableReplicator.isReady
   }
 
   /** What operators see of this host's load. */
   get load (): LoadPicture {
-    return pictureOf(this.options.self.id, this.groups.all)
+    return loadSnapshotOf(this.options.self.id, this.groups.all)
   }
 
   get hosts (): readonly PoolHost[] {
-    return this.tables.hosts
+    return this.tableReplicator.hosts
   }
 
   /**
@@ -141,53 +141,53 @@
    * although the host that passes it on knows it. The version comes with the
    * session, and a host that is behind asks the other one first.
    */
-  private async catchUp (version: number, host: string): Promise<void> {
+  private async catchUpConfig (version: number, host: string): Promise<void> {
     if (version <= this.config.version) return
     const passing = this.hosts.find(({ id }) => id === host)
     if (passing === undefined) return
-    const until = clock.now() + CONSULT_MS
-    for (let left = CONSULT_MS; version > this.config.version && left > 0; left = until - clock.now()) await this.tables.consult(passing, left)
+    const until = clock.now() + CATCH_UP_MS
+    for (let left = CATCH_UP_MS; version > this.config.version && left > 0; left = until - clock.now()) await this.tableReplicator.consult(passing, left)
   }
 
   private async whenReady (ms: number): Promise<boolean> {
-    if (!this.isReady) await this.starting.wait(ms)
+    if (!this.isReady) await this.startWaiters.wait(ms)
     return this.isReady
   }
 
   /** Lets those in who came before the process was ready. */
-  private letIn (): void {
-    if (this.isReady) this.starting.wake()
+  private wakeIfReady (): void {
+    if (this.isReady) this.startWaiters.wake()
   }
 
   /** Tells the other hosts that this one leaves. */
   async leave (): Promise<void> {
-    await this.tables.leave()
+    await this.tableReplicator.leave()
   }
 
-  private watch (): void {
+  private startTimers (): void {
     const timer = setInterval(() => {
-      this.listing.forgetLapsed()
+      this.listing.removeLapsed()
       this.groups.tick()
-      this.reporter?.look()
+      this.reporter?.tick()
     }, TICK_MS)
     const appointing = setInterval(() => {
-      if (this.isReady && this.tables.isKnown && this.config.teams?.some(({ rate }) => rate !== undefined) === true) this.issuing?.look()
-    }, APPOINT_MS)
+      if (this.isReady && this.tableReplicator.isKnown && this.config.teams?.some(({ rate }) => rate !== undefined) === true) this.allowanceService?.tick()
+    }, ISSUER_CHECK_MS)
     this.signal.addEventListener('abort', () => {
       clearInterval(timer)
       clearInterval(appointing)
     })
   }
 
-  private createIssuing ({ bounds, port }: NonNullable<NodeOptions['allowances']>): Issuing {
+  private createAllowanceService ({ bounds, port }: NonNullable<NodeOptions['allowances']>): AllowanceService {
     const { self, isFirstStart, platform: { store }, log, metrics, chance } = this.options
-    return Issuing.create({
+    return AllowanceService.create({
       self: self.id,
       bounds,
       port,
       isFirstStart,
       trustMs: this.pace.sharedTrustMs,
-      ageMs: () => this.tables.ageMs('shared'),
+      ageMs: () => this.tableReplicator.ageMs('shared'),
       team: id => this.config.team(id),
       hosts: () => this.hosts,
       store,
@@ -201,42 +201,42 @@
 
   private heard (table: TableName, rows: readonly Row[]): void {
     switch (table) {
-      case 'config': this.configured(rows); break
-      case 'endpoints': this.listing.take(rows); break
+      case 'config': this.applyConfig(rows); break
+      case 'endpoints': this.listing.applyRows(rows); break
       case 'shared': this.shared(rows); break
       case 'roll': break
     }
-    this.letIn()
+    this.wakeIfReady()
   }
 
-  private configured (rows: readonly Row[]): void {
-    if (!this.configuration.take(rows)) return
-    this.groups.configured()
+  private applyConfig (rows: readonly Row[]): void {
+    if (!this.configuration.apply(rows)) return
+    this.groups.applyConfig()
   }
 
   private shared (rows: readonly Row[]): void {
     for (const row of rows) {
-      this.issuing?.told(row)
-      this.groups.told(row)
+      this.allowanceService?.applySharedRow(row)
+      this.groups.applySharedRow(row)
     }
   }
 
-  private placesFor (database: string, key: KeyDigest | undefined): readonly PoolHost[] {
+  private forwardingTargets (database: string, key: KeyDigest | undefined): readonly PoolHost[] {
     const { config } = this
     const route = config.route(database)
     const team = config.holderOf(key)
     const part = team === undefined ? undefined : { id: team.id, share: config.shareOf(team) }
     const places = route === undefined ? [] : this.groups.ownership(route.group)?.placesFor(this.options.self, part) ?? []
-    return this.missed.last(places, clock.now())
+    return this.unreachableHosts.last(places, clock.now())
   }
 
   private hostsChanged (): void {
-    this.groups.resize()
-    this.letIn()
+    this.groups.assignOwners()
+    this.wakeIfReady()
   }
 
-  private createReporter (way: LoadWay): Reporter {
+  private createReporter (way: LoadTransport): LoadReporter {
     const { self, log, metrics } = this.options
-    return Reporter.create({ self: self.id, life: Date.now(), way, groups: () => this.groups.all, group: id => this.groups.get(id), now: clock.now, age: clock.age, log, metrics })
+    return LoadReporter.create({ self: self.id, incarnation: Date.now(), transport: way, groups: () => this.groups.all, group: id => this.groups.get(id), now: clock.now, age: clock.age, log, metrics })
   }
 }
--- a/src/shell/pool/nodeoptions.ts
+++ b/src/shell/pool/nodeoptions.ts
@@ -5,8 +5,8 @@
 import type { PoolHost } from '../../core/pool/placing/host.ts'
 import type { TeamMeeting } from '../../core/pool/placing/teammeeting.ts'
 import type { Log } from '../log/log.ts'
-import type { TokenWay } from './allowance/tokenway.ts'
-import type { LoadWay } from './load/loadway.ts'
+import type { TokenTransport } from './allowance/tokentransport.ts'
+import type { LoadTransport } from './load/loadtransport.ts'
 import type { PoolMetrics } from './metrics.ts'
 import type { Platform } from './platform.ts'
 import type { Auditor } from './statements/auditor.ts'
@@ -26,11 +26,11 @@
   /** Milliseconds after which no host serves a key that was taken away, in touch or not; undefined where that isn't asked. */
   readonly revokeMs?: number | undefined
   /** How exactly allowances of teams are kept, and the way to those who issue them; undefined where teams have none. */
-  readonly allowances?: { readonly bounds: AllowanceBounds, readonly port: TokenWay } | undefined
+  readonly allowances?: { readonly bounds: AllowanceBounds, readonly port: TokenTransport } | undefined
   /** Where a team's sessions meet if few owners are picked: at one of them, unless the data centres are far from each other. */
-  readonly meeting?: TeamMeeting | undefined
+  readonly affinity?: TeamMeeting | undefined
   /** How owners tell each other of their load; undefined where they don't. */
-  readonly loads?: LoadWay | undefined
+  readonly loadTransport?: LoadTransport | undefined
   readonly platform: Platform
   readonly log: Log
   readonly metrics: PoolMetrics
--- a/src/shell/pool/groupreads.ts
+++ b/src/shell/pool/readrouter.ts
@@ -16,7 +16,7 @@
 import type { Token } from '../../core/token.ts'
 import type { Log } from '../log/log.ts'
 import { clock } from './clock.ts'
-import type { Lender } from './lending/lender.ts'
+import type { ConnectionPool } from './lending/connectionpool.ts'
 import type { PoolMetrics } from './metrics.ts'
 
 interface Options {
@@ -35,7 +35,7 @@
   /** Whether owners were picked, and this host is one. */
   readonly isShared: boolean
   readonly standing: (id: EndpointId) => Standing
-  readonly lender: (id: EndpointId) => Lender | undefined
+  readonly lender: (id: EndpointId) => ConnectionPool | undefined
   readonly isReachable: (id: EndpointId) => boolean
 }
 
@@ -50,7 +50,7 @@
   readonly leftMs: number
 }
 
-interface Placed {
+interface ReadPlacement {
   readonly endpoint: EndpointId
   /** The read is to be held for so long, since the endpoint won't have what it needs before; milliseconds. */
   readonly waitMs: number
@@ -60,17 +60,17 @@
 const FAILED: ReadonlySet<Ending> = new Set<Ending>(['failed', 'timeout', 'broken', 'outOfTime'])
 
 /** The only place where what owners share about reads is replaced. */
-export class GroupReads {
+export class ReadRouter {
   private readonly shared = SharedReads.create()
 
   private constructor (private readonly options: Options, private readonly view: () => View) {}
 
-  static create (options: Options, view: () => View): GroupReads {
-    return new GroupReads(options, view)
+  static create (options: Options, view: () => View): ReadRouter {
+    return new ReadRouter(options, view)
   }
 
   /** Where a read goes next; undefined when no endpoint is left. */
-  place ({ position, team, tried, leftMs }: Read): Placed | undefined {
+  place ({ position, team, tried, leftMs }: Read): ReadPlacement | undefined {
     const now = clock.now()
     const view = this.view()
     const all = {
@@ -78,21 +78,21 @@
       dataCentre: this.options.dataCentre,
       leftMs,
       queued: (id: EndpointId) => view.lender(id)?.queued ?? 0,
-      mustOpen: (id: EndpointId) => team !== undefined && view.lender(id)?.hasUnused(team) !== true,
+      mustOpen: (id: EndpointId) => team !== undefined && view.lender(id)?.hasIdle(team) !== true,
       mayHold: (id: EndpointId) => view.standing(id).mayHold(position, now)
     }
     if (!view.isShared || !SharedReads.isPossible(view.endpoints)) {
       const endpoint = readCandidates(all, position, now).find(id => !tried.has(id))
       return endpoint === undefined ? undefined : { endpoint, waitMs: 0 }
     }
-    this.look(view, now)
+    this.checkHealth(view, now)
     const placed = this.shared.place(all, position, tried, { now, age: clock.age() }, this.options.chance)
     if (placed !== undefined) this.options.metrics.readsPlaced.inc({ at: placed.endpoint === view.primary ? 'primary' : placed.waitMs > 0 ? 'replica awaited' : 'replica' })
     return placed
   }
 
   /** Takes what the group's other owners have at its endpoints from now on. */
-  takeOthers (others: OthersLoad): void {
+  setOthersLoad (others: OthersLoad): void {
     this.shared.takeOthers(others)
   }
 
@@ -102,7 +102,7 @@
   }
 
   /** The part of its reads that the endpoint keeps, by how it served them; from 0 to 1. */
-  partOf (id: EndpointId): number {
+  readShare (id: EndpointId): number {
     return this.shared.health.part(id)
   }
 
@@ -122,16 +122,16 @@
     if (isShared) this.shared.answered(id, position, progress, clock.age())
   }
 
-  fellShort (id: EndpointId): void {
+  recordBehind (id: EndpointId): void {
     this.shared.fellShort(id, clock.age())
   }
 
   /** The endpoint is gone, or began anew under its id. */
-  forget (id: EndpointId): void {
+  removeEndpoint (id: EndpointId): void {
     this.shared.forget(id)
   }
 
-  private look (view: View, now: Instant): void {
+  private checkHealth (view: View, now: Instant): void {
     const { id: group, log, metrics } = this.options
     for (const { id, isAside, failing, answerMs } of this.shared.look(view, now)) {
       metrics.asides.inc({ change: isAside ? 'aside' : 'back' })
--- a/src/shell/pool/statements/auditor.ts
+++ b/src/shell/pool/statements/auditor.ts
@@ -18,8 +18,8 @@
  * What statements leave is made into records so much later: a process that has just started serves those who
  * wait for it first. More than so many are dropped and counted, as at a hundred times the planned load of a host.
  */
-const LATER_MS = 2000
-const MOST_WAITING = 50_000
+const RECORD_DELAY_MS = 2000
+const MAX_WAITING = 50_000
 
 export class Auditor {
   private count = 0
@@ -29,7 +29,7 @@
 
   static start (options: Options, signal: AbortSignal): Auditor {
     const auditor = new Auditor(options, Batches.start({ ...options, limits: LIMITS }, signal))
-    const timer = setInterval(() => auditor.record(), LATER_MS)
+    const timer = setInterval(() => auditor.record(), RECORD_DELAY_MS)
     signal.addEventListener('abort', () => clearInterval(timer), { once: true })
     return auditor
   }
@@ -39,7 +39,7 @@
     const { host, incarnation, metrics } = this.options
     const at = Math.round(Date.now() - audited.tookMs)
     const id = AuditId.of(host, incarnation, at, ++this.count).toString()
-    if (this.waiting.length < MOST_WAITING) this.waiting.push({ ...audited, id, at })
+    if (this.waiting.length < MAX_WAITING) this.waiting.push({ ...audited, id, at })
     else metrics.audit.dropped.inc()
     return id
   }
--- a/src/shell/pool/statements/met.ts
+++ b/src/shell/pool/statements/congestionof.ts
@@ -13,15 +13,15 @@
 }
 
 /** Endpoints that are told: records are kept for long, and what binds shows at few. */
-const MOST_ENDPOINTS = 4
+const MAX_ENDPOINTS = 4
 
 /** Undefined for a statement that was refused for another reason. */
-export function metBy ({ group, team, fault, retryAfterMs }: Refusal): Met | undefined {
+export function congestionOf ({ group, team, fault, retryAfterMs }: Refusal): Met | undefined {
   if (group === undefined || (fault !== 'busy' && fault !== 'overAllowance')) return undefined
-  const leader = team === undefined ? undefined : group.use.leader(clock.now())
+  const leader = team === undefined ? undefined : group.usage.leader(clock.now())
   return {
     team,
-    endpoints: group.seen.filter(({ connections, waiting }) => connections > 0 || waiting.some(count => count > 0)).slice(0, MOST_ENDPOINTS).map(({ endpoint, atWork, waiting }) => ({ endpoint, atWork, waiting })),
+    endpoints: group.endpointStats.filter(({ connections, waiting }) => connections > 0 || waiting.some(count => count > 0)).slice(0, MAX_ENDPOINTS).map(({ endpoint, atWork, waiting }) => ({ endpoint, atWork, waiting })),
     largest: leader === undefined ? undefined : { team: leader.team, part: Math.round(leader.part * 100) / 100 },
     retryAfterMs: Math.ceil(retryAfterMs)
   }
--- a/src/shell/pool/statements/explanation.ts
+++ b/src/shell/pool/statements/explanation.ts
@@ -9,7 +9,7 @@
 import type { Token } from '../../../core/token.ts'
 import { clock } from '../clock.ts'
 import type { PoolContext } from '../context.ts'
-import { metBy } from './met.ts'
+import { congestionOf } from './congestionof.ts'
 import type { Transaction } from './transaction.ts'
 
 interface Explained {
@@ -21,14 +21,14 @@
   readonly reply: Reply
   readonly trail: Trail
   readonly transaction: Transaction | undefined
-  readonly own: Token
+  readonly newestCommit: Token
   readonly retryAfterMs: number
   /** What lies behind a refusal; undefined where its fault says it all. */
   readonly cause: Cause | undefined
 }
 
 /** Under whose name statements are counted where callers have no keys. */
-const EVERYBODY = 'all callers'
+const ALL_CALLERS = 'all callers'
 
 /**
  * Counts the statement, records it, and writes its line when it wasn't done,
@@ -36,20 +36,20 @@
  */
 export function explain (ctx: PoolContext, explained: Explained): string | undefined {
   const ms = clock.now() - explained.trail.since
-  const met = meet(ctx, explained)
-  tell(ctx, explained, ms, met)
+  const met = countUsage(ctx, explained)
+  logStatement(ctx, explained, ms, met)
   return record(ctx, explained, ms, met)
 }
 
 /** Counts the statement for who looks for whose load a group has; what it met when it was refused for want of room. */
-function meet (ctx: PoolContext, { database, caller, reply, trail, transaction, retryAfterMs }: Explained): Met | undefined {
+function countUsage (ctx: PoolContext, { database, caller, reply, trail, transaction, retryAfterMs }: Explained): Met | undefined {
   const config = ctx.config()
   const route = transaction?.route ?? config.route(database)
   const group = route === undefined ? undefined : ctx.group(route.group)
   const team = config.teams === undefined ? undefined : caller
   const fault = reply.kind === 'done' ? undefined : reply.fault
-  const met = fault === undefined ? undefined : metBy({ group, team, fault, retryAfterMs })
-  if (met !== undefined || trail.count > 0) group?.use.add(team ?? EVERYBODY, route?.rank ?? 0, met === undefined ? 'done' : 'refused', clock.now())
+  const met = fault === undefined ? undefined : congestionOf({ group, team, fault, retryAfterMs })
+  if (met !== undefined || trail.count > 0) group?.usage.add(team ?? ALL_CALLERS, route?.rank ?? 0, met === undefined ? 'done' : 'refused', clock.now())
   return met
 }
 
@@ -60,9 +60,9 @@
   return auditor?.take({ request: id, session, caller, kind, database, route, config: config().version, transaction: transaction?.id, trail, ending: reply.kind === 'done' ? 'done' : reply.fault, tookMs, met })
 }
 
-function tell (ctx: PoolContext, explained: Explained, ms: number, met: Met | undefined): void {
+function logStatement (ctx: PoolContext, explained: Explained, ms: number, met: Met | undefined): void {
   const { id, kind, database, reply, trail, cause } = explained
-  const { log, lines, metrics } = ctx
+  const { log, lineBudget: lines, metrics } = ctx
   const outcome = reply.kind === 'done' ? 'done' : reply.fault
   metrics.statements.inc({ database, kind, outcome })
   if (reply.kind === 'refused') metrics.refusals.inc({ cause: cause ?? reply.fault, class: classOf(ctx, explained) })
@@ -93,7 +93,7 @@
 }
 
 /** What the decisions on the statement rested on. */
-function knowledge (ctx: PoolContext, { database, trail, transaction, own, retryAfterMs }: Explained): Readonly<Record<string, string | number>> {
+function knowledge (ctx: PoolContext, { database, trail, transaction, newestCommit: own, retryAfterMs }: Explained): Readonly<Record<string, string | number>> {
   const config = ctx.config()
   const route = transaction?.route ?? config.route(database)
   const group = route === undefined ? undefined : ctx.group(route.group)
--- a/src/shell/pool/statements/tries.ts
+++ b/src/shell/pool/statements/operation.ts
@@ -12,7 +12,7 @@
 import type { Token } from '../../../core/token.ts'
 import type { Attempt } from '../lending/attempt.ts'
 
-export interface Tries {
+export interface Operation {
   readonly route: Route
   readonly database: string
   readonly what: Work['what']
--- a/src/shell/pool/statements/receipt.ts
+++ b/src/shell/pool/statements/receipt.ts
@@ -21,9 +21,9 @@
 }
 
 /** Between two questions: about the time in which a commit reaches a replica in another data centre. */
-const AGAIN_MS = 5
+const POLL_INTERVAL_MS = 5
 /** An acknowledgement goes before all other work. */
-const FIRST = 0
+const HIGHEST_RANK = 0
 
 /** Resolves with false when that can't be told within the time; the commit then is in doubt. */
 export async function isReceived (options: Options): Promise<boolean> {
@@ -32,17 +32,17 @@
     const status = await statusOf(options)
     const fate = status === undefined ? 'missing' : Handover.fateOf(commit, status)
     if (fate !== 'missing') return fate === 'received'
-    await pause(AGAIN_MS)
+    await pause(POLL_INTERVAL_MS)
   }
   return false
 }
 
 async function statusOf ({ group, successor, database, team, deadline }: Options) {
-  const lender = group.lender(successor)
-  const borrowed = await lender?.borrow({ rank: FIRST, caller: team ?? database, team, leftMs: left(deadline), isTransaction: false, values: SessionState.empty() })
+  const lender = group.connectionPool(successor)
+  const borrowed = await lender?.borrow({ rank: HIGHEST_RANK, caller: team ?? database, team, leftMs: left(deadline), isTransaction: false, values: SessionState.empty() })
   if (lender === undefined || borrowed?.isOk() !== true) return undefined
   const attempt = Attempt.on(group, lender, borrowed.value)
   const answer = await attempt.ask([{ kind: 'status' }], 0, left(deadline), false)
-  attempt.end()
+  attempt.release()
   return typeof answer === 'string' ? undefined : answer.status
 }
--- a/src/shell/pool/statements/notetry.ts
+++ b/src/shell/pool/statements/recordtry.ts
@@ -5,7 +5,7 @@
 import { clock } from '../clock.ts'
 import type { PoolContext } from '../context.ts'
 
-export function noteTry ({ metrics }: PoolContext, trail: Trail, one: Omit<Try, 'startMs'>): void {
+export function recordTry ({ metrics }: PoolContext, trail: Trail, one: Omit<Try, 'startMs'>): void {
   trail.add({ ...one, startMs: clock.now() - one.ms - trail.since })
   metrics.tries.inc({ ending: one.ending })
   metrics.trySeconds.observe({ dependency: 'endpoint' }, one.ms / 1000)
--- a/src/shell/pool/statements/refused.ts
+++ b/src/shell/pool/statements/refusal.ts
@@ -3,7 +3,7 @@
 import type { Cause } from '../../../core/pool/statements/cause.ts'
 import type { Fault } from '../../../core/statement/fault.ts'
 
-export interface Refused {
+export interface Refusal {
   readonly fault: Fault
   /** Milliseconds; 0 when nothing is known. */
   readonly retryAfterMs: number
--- a/src/shell/pool/statements/waits.ts
+++ b/src/shell/pool/statements/retrywaits.ts
@@ -7,9 +7,9 @@
 import type { PoolMetrics } from '../metrics.ts'
 import { Waiters } from '../waiters.ts'
 import { left } from './left.ts'
-import type { Tries } from './tries.ts'
+import type { Operation } from './operation.ts'
 
-type Way =
+type WaitResult =
   /** It goes on without having waited. */
   | 'go'
   /** It looks again for an endpoint, `anew` also among those that refused it. */
@@ -20,25 +20,25 @@
 
 type Pause = 'forRoom' | 'forReach' | 'forBudget'
 
-export class Waits {
+export class RetryWaits {
   private looks = 0
   private pauses = 0
   private leave: (() => void) | undefined
 
-  private constructor (private readonly group: PoolGroup, private readonly tries: Tries, private readonly metrics: PoolMetrics) {}
+  private constructor (private readonly group: PoolGroup, private readonly tries: Operation, private readonly metrics: PoolMetrics) {}
 
-  static of (group: PoolGroup, tries: Tries, metrics: PoolMetrics): Waits {
-    return new Waits(group, tries, metrics)
+  static of (group: PoolGroup, tries: Operation, metrics: PoolMetrics): RetryWaits {
+    return new RetryWaits(group, tries, metrics)
   }
 
   /** Whether nobody waits for the answer any more, so that nothing more is sent. */
   get isDropped (): boolean {
-    return this.group.patience.isDropped(this.tries.gone.aborted)
+    return this.group.retryPolicy.isDropped(this.tries.gone.aborted)
   }
 
   /** When what waits for a connection is to be given up; undefined where it isn't. */
   get gone (): AbortSignal | undefined {
-    return this.group.patience.isDropped(true) ? this.tries.gone : undefined
+    return this.group.retryPolicy.isDropped(true) ? this.tries.gone : undefined
   }
 
   /** To be called when the operation has its answer. */
@@ -48,47 +48,47 @@
   }
 
   /** Until a primary is in reach, or it's known that it comes too late. */
-  async forLeader (): Promise<Way> {
+  async forLeader (): Promise<WaitResult> {
     const { group, tries: { deadline, route }, looks } = this
     const { outage, serviceMs, connections, missingMs } = group
     const expectedMs = outage.expectedMs()
     const waiting = outage.waiting - (this.leave === undefined ? 0 : 1)
-    const step = group.patience.forLeader({
+    const step = group.retryPolicy.forLeader({
       leftMs: left(deadline), serviceMs, statementMs: route.statementMs, missingMs, expectedMs, rank: route.rank, looks, waiting, connections
     })
     this.looks++
-    if (step.kind === 'wait') this.leave ??= outage.enter()
-    if (looks > 0 && (step.kind === 'wait' || expectedMs === undefined)) outage.tell(expectedMs)
+    if (step.kind === 'wait') this.leave ??= outage.addWaiting()
+    if (looks > 0 && (step.kind === 'wait' || expectedMs === undefined)) outage.logWait(expectedMs)
     return await this.take('forLeader', step, async ms => await outage.wait(ms, this.gone))
   }
 
   /** Until an endpoint that had no room may have some. */
-  async forRoom (): Promise<Way> {
+  async forRoom (): Promise<WaitResult> {
     return await this.pause('forRoom')
   }
 
   /** Until a connection may be had, or it's known that the endpoint is out of reach. */
-  async forReach (): Promise<Way> {
+  async forReach (): Promise<WaitResult> {
     return await this.pause('forReach')
   }
 
   /** Until the host has a retry left for it. */
-  async forBudget (mayRetry: () => boolean): Promise<Way> {
+  async forBudget (mayRetry: () => boolean): Promise<WaitResult> {
     for (;;) {
       const way = await this.pause('forBudget')
       if (typeof way !== 'string' || this.isDropped || mayRetry()) return way
     }
   }
 
-  private async pause (what: Pause): Promise<Way> {
+  private async pause (what: Pause): Promise<WaitResult> {
     const { group, gone, tries: { deadline }, pauses } = this
     const lack: Parameters<Patience['forRoom']>[0] = { leftMs: left(deadline), serviceMs: group.serviceMs, pauses, chance: group.chance() }
     this.pauses++
     const waiters = what === 'forReach' ? group.outage : Waiters.create()
-    return await this.take(what, group.patience[what](lack), async ms => await waiters.wait(ms, gone))
+    return await this.take(what, group.retryPolicy[what](lack), async ms => await waiters.wait(ms, gone))
   }
 
-  private async take (what: string, step: Step, wait: (ms: number) => Promise<void>): Promise<Way> {
+  private async take (what: string, step: Step, wait: (ms: number) => Promise<void>): Promise<WaitResult> {
     if (step.kind === 'refuse') return { cause: step.cause, retryAfterMs: step.retryAfterMs }
     if (step.kind === 'go') return 'go'
     this.metrics.waits.inc({ what })
--- a/src/shell/pool/statements/run.ts
+++ b/src/shell/pool/statements/run.ts
@@ -2,6 +2,6 @@
 
 import type { Answer } from '../../../core/statement/answer.ts'
 import type { Attempt } from '../lending/attempt.ts'
-import type { Refused } from './refused.ts'
+import type { Refusal } from './refusal.ts'
 
-export type Run = { readonly answer: Answer, readonly attempt: Attempt } | Refused
+export type Run = { readonly answer: Answer, readonly attempt: Attempt } | Refusal
--- a/src/shell/pool/statements/session.ts
+++ b/src/shell/pool/statements/session.ts
@@ -13,8 +13,8 @@
 import { clock } from '../clock.ts'
 import type { PoolContext } from '../context.ts'
 import { explain } from './explanation.ts'
-import type { Refused } from './refused.ts'
-import { Runner } from './runner.ts'
+import type { Refusal } from './refusal.ts'
+import { StatementRunner } from './statementrunner.ts'
 import { Transaction } from './transaction.ts'
 
 interface Options {
@@ -24,7 +24,7 @@
   /** Undefined for a caller without one. */
   readonly key: KeyDigest | undefined
   /** Whether other hosts may run its statements. */
-  readonly mayDetour: boolean
+  readonly mayForward: boolean
 }
 
 /** Sessions of a day on all hosts share no id but once in some thousand years. */
@@ -33,7 +33,7 @@
 export class Session {
   private readonly id = randomBytes(ID_BYTES).toString('hex')
   private readonly values = SessionState.empty()
-  private readonly runner: Runner
+  private readonly runner: StatementRunner
   private transaction: Transaction | undefined
   private idleTimer: NodeJS.Timeout | undefined
   private isRunning = false
@@ -45,8 +45,8 @@
   private readonly gone = new AbortController()
 
   private constructor (private readonly ctx: PoolContext, private readonly options: Options) {
-    const { database, key, mayDetour } = options
-    this.runner = Runner.create(ctx, database, this.values, key, mayDetour, this.gone.signal)
+    const { database, key, mayForward: mayDetour } = options
+    this.runner = StatementRunner.create(ctx, database, this.values, key, mayDetour, this.gone.signal)
   }
 
   /** Undefined when there is no such database. */
@@ -73,7 +73,7 @@
     this.cause = undefined
     const reply = await this.answer(id, statement)
     this.isRunning = false
-    const told = this.explain(id, statement.kind, reply, transaction)
+    const told = this.recordReply(id, statement.kind, reply, transaction)
     this.afterRun?.()
     this.afterRun = undefined
     if (this.transaction?.attempt !== undefined) this.watchIdle()
@@ -84,7 +84,7 @@
   reject (id: string): Reply {
     this.trail = Trail.begin(clock.now())
     const reply = this.failInside({ fault: 'malformed', retryAfterMs: 0 })
-    return this.explain(id, 'none', reply)
+    return this.recordReply(id, 'none', reply)
   }
 
   /**
@@ -158,16 +158,16 @@
     if (work.what === 'commit') return this.refuse({ fault: 'malformed', retryAfterMs: 0 })
     const route = this.ctx.config().route(this.database)
     if (route === undefined) return this.unknownDatabase()
-    const run = await this.runner.single(work, route, this.trail)
+    const run = await this.runner.runSingle(work, route, this.trail)
     if (!('answer' in run)) return this.refuse(run)
-    if (work.what === 'write') this.runner.committed(run.answer)
+    if (work.what === 'write') this.runner.recordCommit(run.answer)
     return this.done(run.answer)
   }
 
   private async sendInside (work: Work, transaction: Transaction): Promise<Reply> {
-    const run = await this.runner.inside(work, transaction, this.trail)
+    const run = await this.runner.runInTransaction(work, transaction, this.trail)
     if (!('answer' in run)) return this.failInside(run, work.what === 'commit')
-    transaction.ran(run.attempt, work.what)
+    transaction.recordRun(run.attempt, work.what)
     if (work.what === 'commit') this.endCommitted(transaction, run.answer)
     return this.done(run.answer)
   }
@@ -179,13 +179,13 @@
   }
 
   private endCommitted (transaction: Transaction, answer: Answer): void {
-    if (transaction.hasWritten) this.runner.committed(answer)
+    if (transaction.hasWritten) this.runner.recordCommit(answer)
     transaction.release()
     this.transaction = undefined
   }
 
   /** Refuses a statement; inside of a transaction that fails as a whole, and a commit ends it. */
-  private failInside (refused: Refused, isCommit = false): Reply {
+  private failInside (refused: Refusal, isCommit = false): Reply {
     if (isCommit) this.close()
     else this.transaction?.fail()
     return this.refuse(refused)
@@ -199,7 +199,7 @@
     return { kind: 'done', rows, proof }
   }
 
-  private refuse ({ fault, retryAfterMs, cause }: Refused): Reply {
+  private refuse ({ fault, retryAfterMs, cause }: Refusal): Reply {
     this.retryAfterMs = retryAfterMs
     this.cause = cause
     // A session whose key was taken away has nothing more to do here.
@@ -207,10 +207,10 @@
   }
 
   /** The reply as the caller gets it: one that isn't "done" names its record. `transaction`: the one that was open before, which a commit has ended. */
-  private explain (id: string, kind: Statement['kind'] | 'none', reply: Reply, transaction = this.transaction): Reply {
+  private recordReply (id: string, kind: Statement['kind'] | 'none', reply: Reply, transaction = this.transaction): Reply {
     const { ctx, id: session, database, options: { caller }, trail, retryAfterMs, cause } = this
-    const { own } = this.runner
-    const record = explain(ctx, { id, session, caller, kind, database, reply, trail, transaction, own, retryAfterMs, cause })
+    const { newestCommit: own } = this.runner
+    const record = explain(ctx, { id, session, caller, kind, database, reply, trail, transaction, newestCommit: own, retryAfterMs, cause })
     if (reply.kind === 'done' || record === undefined) return reply
     return { ...reply, message: `${reply.message} (request ${record})` }
   }
--- a/src/shell/pool/statements/runner.ts
+++ b/src/shell/pool/statements/statementrunner.ts
@@ -15,60 +15,60 @@
 import { clock } from '../clock.ts'
 import type { PoolContext } from '../context.ts'
 import { left } from './left.ts'
-import { noteTry } from './notetry.ts'
+import { recordTry } from './recordtry.ts'
 import { isReceived } from './receipt.ts'
 import type { Run } from './run.ts'
 import type { Transaction } from './transaction.ts'
-import type { Tries } from './tries.ts'
+import type { Operation } from './operation.ts'
 import { tryAll } from './tryall.ts'
 
-export class Runner {
+export class StatementRunner {
   private newest = Token.zero
-  private isOwnUnknown = false
+  private isNewestCommitUnknown = false
 
-  private constructor (private readonly ctx: PoolContext, private readonly database: string, private readonly values: SessionState, private readonly key: KeyDigest | undefined, private readonly mayDetour: boolean, private readonly gone: AbortSignal) {}
+  private constructor (private readonly ctx: PoolContext, private readonly database: string, private readonly values: SessionState, private readonly key: KeyDigest | undefined, private readonly mayForward: boolean, private readonly gone: AbortSignal) {}
 
   /** `values`: what the session has set and prepared, now and later. `key`: the caller's. `mayDetour`: whether other hosts may run its statements. `gone`: aborted once the caller has left. */
-  static create (ctx: PoolContext, database: string, values: SessionState, key: KeyDigest | undefined, mayDetour: boolean, gone: AbortSignal): Runner {
-    return new Runner(ctx, database, values, key, mayDetour, gone)
+  static create (ctx: PoolContext, database: string, values: SessionState, key: KeyDigest | undefined, mayForward: boolean, gone: AbortSignal): StatementRunner {
+    return new StatementRunner(ctx, database, values, key, mayForward, gone)
   }
 
   /** The session's newest commit. */
-  get own (): Token {
+  get newestCommit (): Token {
     return this.newest
   }
 
   /** A statement outside of any transaction. */
-  async single (work: Work, route: Route, trail: Trail): Promise<Run> {
+  async runSingle (work: Work, route: Route, trail: Trail): Promise<Run> {
     const deadline = clock.now() + route.statementMs as Instant
     const mustLead = work.what === 'write' || this.readsAtPrimary(route)
     const run = async (attempt: Attempt, target: Target) => {
       const answer = await this.runOn(attempt, target, work, deadline)
-      attempt.end()
+      attempt.release()
       return work.what === 'write' ? await this.kept(attempt, answer, work, deadline, trail) : answer
     }
     return await tryAll(this.ctx, { ...this.common(route, work, deadline, trail), mustLead, isInside: false, run })
   }
 
-  private common (route: Route, work: Work, deadline: Instant, trail: Trail): Pick<Tries, 'route' | 'database' | 'what' | 'deadline' | 'own' | 'values' | 'key' | 'mayDetour' | 'gone' | 'trail'> {
-    const { database, own, values, key, mayDetour, gone } = this
+  private common (route: Route, work: Work, deadline: Instant, trail: Trail): Pick<Operation, 'route' | 'database' | 'what' | 'deadline' | 'own' | 'values' | 'key' | 'mayDetour' | 'gone' | 'trail'> {
+    const { database, newestCommit: own, values, key, mayForward: mayDetour, gone } = this
     return { route, database, what: work.what, deadline, own, values, key, mayDetour, gone, trail }
   }
 
   private readsAtPrimary ({ freshness }: Route): boolean {
-    return freshness.kind !== 'age' || this.isOwnUnknown
+    return freshness.kind !== 'age' || this.isNewestCommitUnknown
   }
 
   /** A statement of a transaction, on its connection or, as the first, on one that it brings. */
-  async inside (work: Work, transaction: Transaction, trail: Trail): Promise<Run> {
+  async runInTransaction (work: Work, transaction: Transaction, trail: Trail): Promise<Run> {
     const { route, attempt } = transaction
     const deadline = clock.now() + route.statementMs as Instant
-    return attempt === undefined ? await this.first(work, transaction, deadline, trail) : await this.next(work, transaction, attempt, deadline, trail)
+    return attempt === undefined ? await this.runFirst(work, transaction, deadline, trail) : await this.runNext(work, transaction, attempt, deadline, trail)
   }
 
   /** Takes in what a commit or a single write was answered. Without a position of its own commit a session can only read at the primary. */
-  committed ({ position }: Answer): void {
-    if (position === undefined) this.isOwnUnknown = true
+  recordCommit ({ position }: Answer): void {
+    if (position === undefined) this.isNewestCommitUnknown = true
     else this.newest = this.newest.max(position)
   }
 
@@ -88,13 +88,13 @@
    * The first statement brings the connection: until it ran, another endpoint may
    * be tried. A commit of nothing proves no lead, since an endpoint that lost it takes that too.
    */
-  private async first (work: Work, transaction: Transaction, deadline: Instant, trail: Trail): Promise<Run> {
+  private async runFirst (work: Work, transaction: Transaction, deadline: Instant, trail: Trail): Promise<Run> {
     const { route, isReadOnly } = transaction
     const mustLead = !isReadOnly || this.readsAtPrimary(route)
     const run = async (attempt: Attempt, target: Target) => {
       const begun = await this.beginOn(attempt, target, work, deadline)
       const answer = typeof begun === 'string' ? begun : await attempt.ask([work.command()], 0, left(deadline), target.mustLead && work.what !== 'commit')
-      if (typeof answer === 'string') attempt.end()
+      if (typeof answer === 'string') attempt.release()
       return answer
     }
     return await tryAll(this.ctx, { ...this.common(route, work, deadline, trail), mustLead, isInside: true, run })
@@ -107,14 +107,14 @@
     return await attempt.ask([...prelude, { kind: 'begin', isReadOnly: !mustLead, after }], prelude.length, left(deadline), mustLead)
   }
 
-  private async next (work: Work, transaction: Transaction, attempt: Attempt, deadline: Instant, trail: Trail): Promise<Run> {
+  private async runNext (work: Work, transaction: Transaction, attempt: Attempt, deadline: Instant, trail: Trail): Promise<Run> {
     const prelude = work.preludeOn(attempt.link.values, this.values)
     const { hasWritten } = transaction
-    const isLead = transaction.leads && (work.what !== 'commit' || hasWritten)
+    const isLead = transaction.requiresLeader && (work.what !== 'commit' || hasWritten)
     const began = clock.now()
     const answer = await attempt.ask([...prelude, work.command()], prelude.length, left(deadline), isLead)
     const isDone = typeof answer !== 'string'
-    noteTry(this.ctx, trail, {
+    recordTry(this.ctx, trail, {
       endpoint: attempt.endpoint,
       what: work.what,
       isInside: true,
@@ -140,7 +140,7 @@
     const began = clock.now()
     const team = ctx.config().holderOf(key)?.id
     const isKept = await isReceived({ group: attempt.group, successor, commit: answer.position, database, team, deadline })
-    noteTry(ctx, trail, {
+    recordTry(ctx, trail, {
       endpoint: successor,
       what: work.what,
       isInside: work.what === 'commit',
--- a/src/shell/pool/statements/target.ts
+++ b/src/shell/pool/statements/target.ts
@@ -8,16 +8,16 @@
 import type { Token } from '../../../core/token.ts'
 import type { PoolGroup } from '../group.ts'
 
-interface Wanted {
+interface TargetOptions {
   /** True for writes, and for transactions that may write. */
   readonly mustLead: boolean
   readonly freshness: Freshness
   /** The session's newest commit. */
-  readonly own: Token
+  readonly newestCommit: Token
   /** Whose connections serve it; undefined where they serve anybody. */
   readonly team: TeamId | undefined
   /** Whether another host may run it; not for one that came as a detour itself, so that none goes round in circles. */
-  readonly mayDetour: boolean
+  readonly mayForward: boolean
   /** Endpoints that refused this operation as replicas or were out of reach. */
   readonly tried: ReadonlySet<EndpointId>
   /** Until its time is up, in milliseconds. */
@@ -25,10 +25,10 @@
 }
 
 /** Resolves with undefined when nothing can serve it now, for want of a primary in reach; after a wait only for a replica that will soon hold what the read needs. */
-export async function nextTarget (group: PoolGroup, { mustLead, freshness, own, team, mayDetour, tried, leftMs }: Wanted): Promise<Target | undefined> {
+export async function nextTarget (group: PoolGroup, { mustLead, freshness, newestCommit: own, team, mayForward: mayDetour, tried, leftMs }: TargetOptions): Promise<Target | undefined> {
   if (!mustLead && freshness.kind === 'age') {
-    const after = group.required(own, freshness.ms)
-    const placed = after === undefined ? undefined : group.reads.place({ position: after, team, tried, leftMs })
+    const after = group.requiredPosition(own, freshness.ms)
+    const placed = after === undefined ? undefined : group.readRouter.place({ position: after, team, tried, leftMs })
     if (placed !== undefined) {
       if (placed.waitMs > 0) await pause(placed.waitMs)
       return { endpoint: placed.endpoint, after, mustLead: false }
@@ -36,12 +36,12 @@
   }
   // Against requests that are held for their whole time before they are refused: what would go to a primary that
   // is out of reach is known not to be served until it's replaced.
-  if (group.isLeaderOut()) return mayDetour ? detour(group) : undefined
+  if (group.isLeaderUnreachable()) return mayDetour ? forwardedTarget(group) : undefined
   return group.leader === undefined ? undefined : { endpoint: group.leader, after: undefined, mustLead: true }
 }
 
-function detour (group: PoolGroup): Target | undefined {
+function forwardedTarget (group: PoolGroup): Target | undefined {
   const { leader } = group
-  const via = group.hostFor(leader)
+  const via = group.hostReaching(leader)
   return leader === undefined || via === undefined ? undefined : { endpoint: leader, after: undefined, mustLead: true, via }
 }
--- a/src/shell/pool/statements/transaction.ts
+++ b/src/shell/pool/statements/transaction.ts
@@ -8,7 +8,7 @@
 /** `aborted`: rolled back by this process, which its caller is still to be told. */
 export class Transaction {
   private held: Attempt | undefined
-  private written = false
+  private wasWritten = false
   private now: State = 'open'
 
   private constructor (readonly id: string, readonly route: Route, readonly isReadOnly: boolean) {}
@@ -28,17 +28,17 @@
 
   /** Whether a write was sent in it. */
   get hasWritten (): boolean {
-    return this.written
+    return this.wasWritten
   }
 
   /** Whether its endpoint refuses its statements once it doesn't lead any more. */
-  get leads (): boolean {
+  get requiresLeader (): boolean {
     return !this.isReadOnly || this.route.freshness.kind !== 'age'
   }
 
-  ran (attempt: Attempt, what: 'read' | 'write' | 'commit'): void {
+  recordRun (attempt: Attempt, what: 'read' | 'write' | 'commit'): void {
     this.held = attempt
-    if (what === 'write') this.written = true
+    if (what === 'write') this.wasWritten = true
   }
 
   fail (): void {
@@ -53,7 +53,7 @@
 
   /** Gives the connection back, rolled back if need be. */
   release (): void {
-    this.held?.end()
+    this.held?.release()
     this.held = undefined
   }
 }
--- a/src/shell/pool/statements/tryall.ts
+++ b/src/shell/pool/statements/tryall.ts
@@ -12,29 +12,29 @@
 import { Attempt } from '../lending/attempt.ts'
 import { clock } from '../clock.ts'
 import type { PoolContext } from '../context.ts'
-import { Detour } from '../lending/detour.ts'
+import { ForwardedSource } from '../lending/forwardedsource.ts'
 import type { PoolGroup } from '../group.ts'
 import { left } from './left.ts'
-import { noteTry } from './notetry.ts'
-import type { Refused } from './refused.ts'
+import { recordTry } from './recordtry.ts'
+import type { Refusal } from './refusal.ts'
 import type { Run } from './run.ts'
 import { nextTarget } from './target.ts'
-import type { Tries } from './tries.ts'
-import { Waits } from './waits.ts'
+import type { Operation } from './operation.ts'
+import { RetryWaits } from './retrywaits.ts'
 
 /** A host in reach takes a session within milliseconds; against callers who wait for their whole time on one that died since. */
-const DETOUR_MS = 300
+const FORWARD_DIAL_MS = 300
 /** An operation waits for a token of its team for this part of its aim: the rest is for its way and its place at the endpoint. */
 const TOKEN_SHARE = 0.3
 /** It waits for this part of its time for issuers of tokens that don't answer, as they don't while all hosts start: late is better than never then. */
-const SILENT_SHARE = 0.5
+const SILENT_ISSUER_SHARE = 0.5
 /** An operation is best started within this part of its aim: the rest is for its work, and for its way to its caller. */
 const START_SHARE = 0.7
 /** The time to come back while nobody leads: about a round of finding the new primary. */
-const LEADERLESS_MS = 500
+const LEADERLESS_RETRY_MS = 500
 
 /** Resolves always, within the operation's time. */
-export async function tryAll (ctx: PoolContext, tries: Tries): Promise<Run> {
+export async function tryAll (ctx: PoolContext, tries: Operation): Promise<Run> {
   const gate = Gate.open(ctx, tries.route, tries.key)
   if (!(gate instanceof Gate)) return gate
   const run = await tryEach(ctx, tries, gate)
@@ -42,26 +42,26 @@
   return run
 }
 
-async function tryEach (ctx: PoolContext, tries: Tries, gate: Gate): Promise<Run> {
+async function tryEach (ctx: PoolContext, tries: Operation, gate: Gate): Promise<Run> {
   const group = ctx.group(tries.route.group)
-  if (group === undefined) return { fault: 'busy', retryAfterMs: LEADERLESS_MS }
-  const waits = Waits.of(group, tries, ctx.metrics)
+  if (group === undefined) return { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS }
+  const waits = RetryWaits.of(group, tries, ctx.metrics)
   const run = await tryInTurn(ctx, group, tries, gate, waits)
   waits.end()
   return run
 }
 
-async function tryInTurn (ctx: PoolContext, group: PoolGroup, tries: Tries, gate: Gate, waits: Waits): Promise<Run> {
+async function tryInTurn (ctx: PoolContext, group: PoolGroup, tries: Operation, gate: Gate, waits: RetryWaits): Promise<Run> {
   const { route: { freshness }, mustLead, deadline, own, mayDetour } = tries
-  let last: Refused = { fault: 'busy', retryAfterMs: LEADERLESS_MS }
+  let last: Refusal = { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS }
   const tried = new Set<EndpointId>()
   const full = new Set<EndpointId>()
-  for (let count = 0; count < group.patience.mostTries(group.endpoints.length) && left(deadline) > 0;) {
+  for (let count = 0; count < group.retryPolicy.mostTries(group.endpoints.length) && left(deadline) > 0;) {
     if (waits.isDropped) return { ...last, cause: 'left' }
-    const target = await nextTarget(group, { mustLead, freshness, own, team: gate.team?.id, mayDetour, tried, leftMs: left(deadline) })
-    const way = await wayTo(target, full, waits)
+    const target = await nextTarget(group, { mustLead, freshness, newestCommit: own, team: gate.team?.id, mayForward: mayDetour, tried, leftMs: left(deadline) })
+    const way = await waitForTarget(target, full, waits)
     if (typeof way !== 'string') return { ...last, ...way }
-    if (way === 'anew') forget(tried, full)
+    if (way === 'anew') clearAll(tried, full)
     if (target === undefined || way !== 'go') continue
     count++
     tried.add(target.endpoint)
@@ -71,27 +71,27 @@
     if (last.fault !== 'failed') last = once.refused
     if (last.cause === 'full') full.add(target.endpoint)
     if (once.kind === 'refused') return last
-    const next = once.kind === 'short' ? await waits[once.of](() => ctx.budget.tryTakeRetry(clock.now())) : 'go'
+    const next = once.kind === 'short' ? await waits[once.of](() => ctx.retryBudget.tryTakeRetry(clock.now())) : 'go'
     if (typeof next !== 'string') return { ...last, cause: next.cause }
   }
   return last
 }
 
 /** An endpoint that had no room is asked again only after a pause. */
-async function wayTo (target: Target | undefined, full: ReadonlySet<EndpointId>, waits: Waits): ReturnType<Waits['forLeader']> {
+async function waitForTarget (target: Target | undefined, full: ReadonlySet<EndpointId>, waits: RetryWaits): ReturnType<RetryWaits['forLeader']> {
   if (target === undefined) return await waits.forLeader()
   return full.has(target.endpoint) ? await waits.forRoom() : 'go'
 }
 
-function forget (...sets: ReadonlyArray<Set<EndpointId>>): void {
+function clearAll (...sets: ReadonlyArray<Set<EndpointId>>): void {
   for (const set of sets) set.clear()
 }
 
-type Once =
+type AttemptResult =
   | { readonly kind: 'done', readonly run: Run }
-  | { readonly kind: 'refused' | 'elsewhere', readonly refused: Refused }
+  | { readonly kind: 'refused' | 'elsewhere', readonly refused: Refusal }
   /** It may be tried again, once what it lacks is there. */
-  | { readonly kind: 'short', readonly of: 'forReach' | 'forBudget', readonly refused: Refused }
+  | { readonly kind: 'short', readonly of: 'forReach' | 'forBudget', readonly refused: Refusal }
 
 /**
  * Against reads that wait out their statement's time at an endpoint that went
@@ -99,36 +99,36 @@
  * connection is given up, and the read goes elsewhere. A single write waits on, since
  * only its answer can tell what became of it.
  */
-async function tryOnce (ctx: PoolContext, group: PoolGroup, target: Target, tries: Tries, gate: Gate, waits: Waits): Promise<Once> {
+async function tryOnce (ctx: PoolContext, group: PoolGroup, target: Target, tries: Operation, gate: Gate, waits: RetryWaits): Promise<AttemptResult> {
   const began = clock.now()
   const { after, mustLead } = target
-  const endpoint = target.via === undefined ? target.endpoint : Detour.by(target.via).endpoint.id
-  const note = (ending: string, position?: Token) => noteTry(ctx, tries.trail, {
+  const endpoint = target.via === undefined ? target.endpoint : ForwardedSource.by(target.via).endpoint.id
+  const note = (ending: string, position?: Token) => recordTry(ctx, tries.trail, {
     endpoint, after, mustLead, what: tries.what, isInside: tries.isInside, hasWritten: false, ending, position, ms: clock.now() - began
   })
-  const refused = target.via === undefined ? await fetch(gate, tries) : undefined
+  const refused = target.via === undefined ? await fetchToken(gate, tries) : undefined
   if (refused !== undefined) return { kind: 'refused', refused }
-  const attempt = target.via === undefined ? await borrow(group, target, tries, gate, waits.gone) : await detour(ctx, group, target.via, tries)
+  const attempt = target.via === undefined ? await borrow(group, target, tries, gate, waits.gone) : await forward(ctx, group, target.via, tries)
   if (!(attempt instanceof Attempt)) {
     note('no connection')
-    return unconnected(group, attempt, target)
+    return resultWithoutConnection(group, attempt, target)
   }
   if (waits.isDropped) {
-    attempt.end()
+    attempt.release()
     return { kind: 'refused', refused: { fault: 'busy', retryAfterMs: 0, cause: 'left' } }
   }
-  const unwatch = group.patience.isCutOff(tries) && target.via === undefined ? group.watchers.watch(target.endpoint, () => attempt.link.close()) : undefined
+  const unwatch = group.retryPolicy.isCutOff(tries) && target.via === undefined ? group.watchers.watch(target.endpoint, () => attempt.link.close()) : undefined
   const sentAt = clock.now()
   const answer = await tries.run(attempt, target)
   unwatch?.()
   if (typeof answer === 'string') note(answer)
   else note('done', answer.position)
   if (typeof answer === 'string') {
-    gate.again(MAY_HAVE_RUN.has(answer))
-    return ended(ctx, answer, tries)
+    gate.prepareRetry(MAY_HAVE_RUN.has(answer))
+    return resultOfEnding(ctx, answer, tries)
   }
-  group.served(clock.now() - sentAt)
-  ctx.budget.recordSuccess()
+  group.recordServiceTime(clock.now() - sentAt)
+  ctx.retryBudget.recordSuccess()
   return { kind: 'done', run: { answer, attempt } }
 }
 
@@ -136,24 +136,24 @@
  * What only the primary may do has nowhere else to go. Against refusals in the half second in which a primary is silent and not known to
  * be out of reach: admission finds that nothing moves, and takes it for a queue that is too long.
  */
-function unconnected (group: PoolGroup, refused: Refused, { endpoint, mustLead, via }: Target): Once {
+function resultWithoutConnection (group: PoolGroup, refused: Refusal, { endpoint, mustLead, via }: Target): AttemptResult {
   if (!mustLead) return { kind: 'elsewhere', refused }
   const isInDoubt = via === undefined && (refused.cause === 'unreachable' || group.contact(endpoint).isDoubtful(clock.now()))
   return isInDoubt ? { kind: 'short', of: 'forReach', refused } : { kind: 'refused', refused }
 }
 
-function ended (ctx: PoolContext, ending: Ending, { what, isInside }: Tries): Once {
+function resultOfEnding (ctx: PoolContext, ending: Ending, { what, isInside }: Operation): AttemptResult {
   const verdict = verdictOf(ending, { what, isInside, isFirst: true, hasWritten: false })
   if (verdict.kind === 'refuse') return { kind: 'refused', refused: { fault: verdict.fault, retryAfterMs: 0 } }
-  const refused: Refused = { fault: faultOf(ending), retryAfterMs: LEADERLESS_MS, cause: ending === 'busy' ? 'full' : undefined }
+  const refused: Refusal = { fault: faultOf(ending), retryAfterMs: LEADERLESS_RETRY_MS, cause: ending === 'busy' ? 'full' : undefined }
   // Being sent on by an endpoint that knows better costs no work there, so it takes nothing of the budget.
   const isFree = ending === 'behind' || ending === 'notPrimary'
-  return isFree || ctx.budget.tryTakeRetry(clock.now()) ? { kind: 'elsewhere', refused } : { kind: 'short', of: 'forBudget', refused }
+  return isFree || ctx.retryBudget.tryTakeRetry(clock.now()) ? { kind: 'elsewhere', refused } : { kind: 'short', of: 'forBudget', refused }
 }
 
-async function fetch (gate: Gate, { route, deadline }: Tries): Promise<Refused | undefined> {
+async function fetchToken (gate: Gate, { route, deadline }: Operation): Promise<Refusal | undefined> {
   const leftMs = left(deadline)
-  return await gate.fetch(Math.min(route.aimMs * TOKEN_SHARE, leftMs), leftMs * SILENT_SHARE)
+  return await gate.fetchToken(Math.min(route.aimMs * TOKEN_SHARE, leftMs), leftMs * SILENT_ISSUER_SHARE)
 }
 
 /** Endings that don't prove that the endpoint did nothing. */
@@ -161,18 +161,18 @@
 
 const CAUSES: Readonly<Record<'busy' | 'unreachable', Cause>> = { busy: 'queue', unreachable: 'unreachable' }
 
-async function borrow (group: PoolGroup, target: Target, { route, database, deadline, isInside, values }: Tries, gate: Gate, gone: AbortSignal | undefined): Promise<Attempt | Refused> {
+async function borrow (group: PoolGroup, target: Target, { route, database, deadline, isInside, values }: Operation, gate: Gate, gone: AbortSignal | undefined): Promise<Attempt | Refusal> {
   const team = gate.team?.id
-  const lender = group.lender(target.endpoint)
-  if (lender === undefined) return { fault: 'busy', retryAfterMs: LEADERLESS_MS }
+  const lender = group.connectionPool(target.endpoint)
+  if (lender === undefined) return { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS }
   const borrowed = await lender.borrow({ rank: route.rank, caller: team ?? database, team, leftMs: left(deadline), aimMs: left(deadline) - route.statementMs + route.aimMs * START_SHARE, isTransaction: isInside, values, gone })
   if (borrowed.isOk()) return Attempt.on(group, lender, borrowed.value, gate)
   return { fault: 'busy', retryAfterMs: borrowed.error.retryAfterMs, cause: CAUSES[borrowed.error.reason] }
 }
 
-async function detour (ctx: PoolContext, group: PoolGroup, host: PoolHost, { database, deadline, key }: Tries): Promise<Attempt | Refused> {
-  const dialled = await ctx.dialHost(host, database, key, Math.min(DETOUR_MS, left(deadline)))
-  return dialled.isOk() ? Attempt.on(group, Detour.by(host), dialled.value) : { fault: 'busy', retryAfterMs: LEADERLESS_MS, cause: 'unreachable' }
+async function forward (ctx: PoolContext, group: PoolGroup, host: PoolHost, { database, deadline, key }: Operation): Promise<Attempt | Refusal> {
+  const dialled = await ctx.dialHost(host, database, key, Math.min(FORWARD_DIAL_MS, left(deadline)))
+  return dialled.isOk() ? Attempt.on(group, ForwardedSource.by(host), dialled.value) : { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS, cause: 'unreachable' }
 }
 
 /** How an ending that proves "not run" is told when no endpoint is left. */
--- a/src/shell/pool/storecalls.ts
+++ b/src/shell/pool/storecalls.ts
@@ -9,7 +9,7 @@
 }
 
 /** A process that is killed leaves this much untold: as much as the records that it loses. */
-const EVERY_MS = 10_000
+const LOG_INTERVAL_MS = 10_000
 
 /**
  * Each line holds all calls since the start, so that a lost line loses none. Kinds are the labels of the counter, which
@@ -17,30 +17,30 @@
  */
 export class StoreCalls {
   private readonly startedAt = Date.now()
-  private told = ''
+  private lastLogged = ''
 
   private constructor (private readonly options: Options) {}
 
   static start (options: Options, signal: AbortSignal): StoreCalls {
     const it = new StoreCalls(options)
-    const timer = setInterval(() => it.tell(), EVERY_MS)
+    const timer = setInterval(() => it.logChanges(), LOG_INTERVAL_MS)
     timer.unref()
     signal.addEventListener('abort', () => clearInterval(timer), { once: true })
     return it
   }
 
   /** The last line of the process. */
-  async end (): Promise<void> {
+  async logLast (): Promise<void> {
     this.write(await this.read(), true)
   }
 
-  private async tell (): Promise<void> {
+  private async logChanges (): Promise<void> {
     const calls = await this.read()
-    if (calls !== this.told) this.write(calls, false)
+    if (calls !== this.lastLogged) this.write(calls, false)
   }
 
   private write (calls: string, isLast: boolean): void {
-    this.told = calls
+    this.lastLogged = calls
     this.options.log.write('storeCalls', { startedAt: this.startedAt, isLast, calls })
   }
 
--- a/src/shell/pool/watchers.ts
+++ b/src/shell/pool/watchers.ts
@@ -21,7 +21,7 @@
     }
   }
 
-  tell (id: EndpointId): void {
+  notify (id: EndpointId): void {
     for (const onOut of [...this.watching.get(id) ?? []]) onOut()
   }
 }
--- a/standin/lines/cuttablestore.ts
+++ b/standin/lines/cuttablestore.ts
@@ -1,7 +1,7 @@
 /** A store that one host can be cut off from. */
 
 import { err } from 'neverthrow'
-import type { RowStore } from '../../src/shell/pool/membership/rows.ts'
+import type { RowStore } from '../../src/shell/pool/membership/rowstore.ts'
 
 /** How soon a question fails once it's cut. */
 const FAIL_MS = 20
--- a/standin/lines/host.ts
+++ b/standin/lines/host.ts
@@ -63,7 +63,7 @@
       historyMs: 20_000,
       revokeMs: bounds.revokeMs,
       allowances: bounds.allowances === undefined ? undefined : { bounds: bounds.allowances, port: TokenPort.listen({ ip: IP, port: peerPort }, log, stopped.signal) },
-      loads: bounds.capacity === undefined ? undefined : LoadPort.listen({ ...LoadPort.behind({ ip: IP, port: peerPort }), log, metrics, signal: stopped.signal }),
+      loadTransport: bounds.capacity === undefined ? undefined : LoadPort.listen({ ...LoadPort.reportAddress({ ip: IP, port: peerPort }), log, metrics, signal: stopped.signal }),
       log,
       metrics,
       chance: () => 0.5,
