--- a/bench/group/asbuilt.ts
+++ b/bench/group/asbuilt.ts
@@ -3,8 +3,8 @@
 import { Admission } from '../../src/core/admission/admission.ts'
 import type { Limits } from '../../src/core/admission/limits.ts'
 import type { Instant } from '../../src/core/id/instant.ts'
-import { shareOf } from '../../src/core/pool/placing/share.ts'
-import { Thrift } from '../../src/core/pool/placing/thrift.ts'
+import { connectionsPerOwner } from '../../src/core/pool/placing/connectionsperowner.ts'
+import { ConnectionScarcity } from '../../src/core/pool/placing/connectionscarcity.ts'
 import type { Policy } from '../load/policy.ts'
 import type { GroupPolicy } from './policy.ts'
 
@@ -33,7 +33,7 @@
   }
 
   share (connections: number, hosts: number): number {
-    return this.change.share?.(connections, hosts) ?? shareOf(connections, hosts)
+    return this.change.share?.(connections, hosts) ?? connectionsPerOwner(connections, hosts)
   }
 
   admission (limits: Limits): Policy {
@@ -42,7 +42,7 @@
 
   restMs (now: Instant, startedAt: Instant, refusedAt: Instant | undefined): number | undefined {
     if (this.change.restMs !== undefined) return this.change.restMs(now, startedAt, refusedAt)
-    const thrift = Thrift.started(startedAt)
-    return (refusedAt === undefined ? thrift : thrift.refused(refusedAt)).restMs(now)
+    const thrift = ConnectionScarcity.started(startedAt)
+    return (refusedAt === undefined ? thrift : thrift.refused(refusedAt)).idleTimeoutMs(now)
   }
 }
--- a/bench/group/host.ts
+++ b/bench/group/host.ts
@@ -5,9 +5,9 @@
 import type { AdmissionEvent } from '../../src/core/admission/event.ts'
 import type { AdmissionRequest } from '../../src/core/admission/request.ts'
 import type { Instant } from '../../src/core/id/instant.ts'
-import { Progress } from '../../src/core/pool/reads/progress.ts'
-import { SharedReads } from '../../src/core/pool/reads/sharedreads.ts'
-import { Standing } from '../../src/core/pool/reads/standing.ts'
+import { LogProgress } from '../../src/core/pool/reads/logprogress.ts'
+import { ReadBalancer } from '../../src/core/pool/reads/readbalancer.ts'
+import { LogState } from '../../src/core/pool/reads/logstate.ts'
 import type { Agenda } from '../load/agenda.ts'
 import type { Policy } from '../load/policy.ts'
 import type { ModelEndpoint } from './endpoint.ts'
@@ -37,9 +37,9 @@
 
 /** One life of the host: a new one begins after each outage. */
 export class ModelHost {
-  progress = Progress.empty
-  readonly standings: Standing[]
-  readonly reads: SharedReads
+  progress = LogProgress.empty
+  readonly standings: LogState[]
+  readonly reads: ReadBalancer
   private readonly slots: readonly Slot[]
   private readonly waiting = new Map<number, Lent>()
   private readonly startedAt: Instant
@@ -48,8 +48,8 @@
   private constructor (private readonly options: Options) {
     const limits = Limits.of(options.connections).with({ maxPinned: [options.connections, options.connections, Math.max(1, options.connections - 1)] })
     this.slots = options.endpoints.map(() => ({ policy: options.policy.admission(limits), idle: 0, open: 0, usedAt: 0, refusedAt: undefined }))
-    this.standings = options.endpoints.map(() => Standing.unknown)
-    this.reads = SharedReads.create(options.policy.order)
+    this.standings = options.endpoints.map(() => LogState.unknown)
+    this.reads = ReadBalancer.create(options.policy.order)
     this.startedAt = options.agenda.now as Instant
     this.tick()
   }
--- a/bench/group/model.ts
+++ b/bench/group/model.ts
@@ -154,7 +154,7 @@
     if (operation.isOver || tried.size >= TRIES) return this.refused(operation)
     const { kind, isWrite } = operation
     const { now } = this.agenda
-    const bound = isWrite || kind.staleMs === 0 ? undefined : host.progress.required(Token.zero, kind.staleMs, now as Instant)
+    const bound = isWrite || kind.staleMs === 0 ? undefined : host.progress.requiredPosition(Token.zero, kind.staleMs, now as Instant)
     const { at, waitMs } = bound === undefined ? { at: PRIMARY, waitMs: 0 } : this.readerOf(host, hostAt, bound, tried)
     if (waitMs === 0) return this.sendTo(at, bound, operation, host, hostAt, tried)
     this.agenda.add(waitMs, () => this.sendTo(at, bound, operation, host, hostAt, tried))
@@ -171,8 +171,8 @@
       if (isReplica && !this.holds(bound!)) {
         this.inVain++
         this.showed(host, at)
-        host.reads.fellShort(this.listed[at]!.id, this.agenda.now as Instant)
-        host.standings[at] = host.standings[at]!.fellShort(this.agenda.now as Instant)
+        host.reads.recordRefusal(this.listed[at]!.id, this.agenda.now as Instant)
+        host.standings[at] = host.standings[at]!.withRefusal(this.agenda.now as Instant)
         host.giveBack(at, id)
         return this.tryAt(operation, host, hostAt, new Set([...tried, at]))
       }
@@ -189,7 +189,7 @@
       primary: this.listed[PRIMARY]!.id,
       dataCentre: `z${hostAt % DATA_CENTRES}` as DataCentreId,
       standing: (id: EndpointId) => host.standings[indexOf(id)]!,
-      mustOpen: () => false,
+      needsNewConnection: () => false,
       queued: (id: EndpointId) => host.queued(indexOf(id)),
       isReachable: (id: EndpointId) => indexOf(id) === PRIMARY || Number.isFinite(this.load.lagMs(now))
     }
@@ -197,10 +197,10 @@
       const at = readCandidates(view, bound, now).map(indexOf).find(one => !tried.has(one)) ?? PRIMARY
       return { at, waitMs: 0 }
     }
-    host.reads.look(view, now)
-    const mayHold = (id: EndpointId) => view.standing(id).mayHold(bound, now)
+    host.reads.evaluateHealth(view, now)
+    const mayHold = (id: EndpointId) => view.standing(id).mayContain(bound, now)
     const triedIds = new Set([...tried].map(at => this.listed[at]!.id))
-    const placed = host.reads.place({ ...view, mayHold, progress: host.progress, leftMs: STATEMENT_MS }, bound, triedIds, { now, age: now }, () => this.chance())
+    const placed = host.reads.place({ ...view, mayContain: mayHold, progress: host.progress, leftMs: STATEMENT_MS }, bound, triedIds, { now, age: now }, () => this.chance())
     return placed === undefined ? { at: PRIMARY, waitMs: 0 } : { at: indexOf(placed.endpoint), waitMs: placed.waitMs }
   }
 
@@ -226,7 +226,7 @@
   private runAll (operation: Operation, host: ModelHost, at: number, id: number, left: number): void {
     const sentAt = this.agenda.now as Instant
     const endpoint = this.listed[at]!
-    const ended = host.reads.health.sent(endpoint.id, host.reads.crowd(endpoint, sentAt), sentAt)
+    const ended = host.reads.health.sent(endpoint.id, host.reads.statementsPerPlace(endpoint, sentAt), sentAt)
     const workMs = this.exponential(operation.kind.workMs) * (this.load.slowness?.(at, sentAt) ?? 1)
     const isDone = this.endpoints[at]!.work(workMs, () => {
       ended('done', this.agenda.now as Instant)
--- a/bench/group/owners.test.ts
+++ b/bench/group/owners.test.ts
@@ -28,7 +28,7 @@
 const byReports: Way = { limit: (agenda, phase) => PlaceLimit.create(PLACES, phase, agenda.now as Instant), isHeard: true }
 const byLatency: Way = { ...byReports, isHeard: false }
 /** As many as an owner has connections: the queue is the endpoint's. */
-const byConnections: Way = { limit: () => ({ at: () => 4, shed: () => {}, answered: () => {} }), isHeard: false }
+const byConnections: Way = { limit: () => ({ at: () => 4, backOff: () => {}, answered: () => {} }), isHeard: false }
 
 function run (streams: Options['streams'], way: Way) {
   const runs = SEEDS.map(seed => OwnersModel.run({ owners: OWNERS.length, streams, ...way, seed, endMs: END_MS }))
--- a/bench/group/owners.ts
+++ b/bench/group/owners.ts
@@ -4,7 +4,7 @@
 import type { CallerId } from '../../src/core/id/caller.ts'
 import type { Instant } from '../../src/core/id/instant.ts'
 import type { OthersLoad } from '../../src/core/pool/load/othersload.ts'
-import { PlaceGate } from '../../src/core/pool/load/placegate.ts'
+import { PlaceScheduler } from '../../src/core/pool/load/placescheduler.ts'
 import type { PlaceEvent } from '../../src/core/pool/load/placeevent.ts'
 import { Agenda } from '../load/agenda.ts'
 import { ModelEndpoint } from './endpoint.ts'
@@ -14,7 +14,7 @@
 /** How many places one owner may use. */
 interface LimitPolicy {
   at (demand: number, others: Others, now: Instant): number
-  shed (now: Instant): void
+  backOff (now: Instant): void
   /** `ms`: from sending to the answer. */
   answered (ms: number, rank: number, now: Instant): void
 }
@@ -43,7 +43,7 @@
 }
 
 interface Owner {
-  readonly gate: PlaceGate
+  readonly gate: PlaceScheduler
   readonly limit: LimitPolicy
   others: Others
 }
@@ -84,7 +84,7 @@
   private constructor (options: Options) {
     this.generator = xoroshiro128plus(options.seed)
     this.endpoint = ModelEndpoint.create({ agenda: this.agenda, places: PLACES, mostQueued: MOST_QUEUED, mostConnections: Infinity, lingerMs: 0 })
-    this.owners = Array.from({ length: options.owners }, () => ({ gate: PlaceGate.create(), limit: options.limit(this.agenda, this.chance()), others: NOBODY }))
+    this.owners = Array.from({ length: options.owners }, () => ({ gate: PlaceScheduler.create(), limit: options.limit(this.agenda, this.chance()), others: NOBODY }))
   }
 
   static run (options: Options): OwnersModel {
@@ -144,7 +144,7 @@
   /** Each owner's reports come at moments of their own; the model lets one owner hear of all at once. */
   private hear (at: number): void {
     const rest = this.owners.filter((_, i) => i !== at)
-    const sum = (pick: (gate: PlaceGate) => number) => rest.reduce((total, { gate }) => total + pick(gate), 0)
+    const sum = (pick: (gate: PlaceScheduler) => number) => rest.reduce((total, { gate }) => total + pick(gate), 0)
     this.owners[at]!.others = { ...NOBODY, owners: rest.length, atWork: sum(gate => gate.atWork), waiting: sum(gate => gate.waiting) }
   }
 
@@ -200,7 +200,7 @@
       if (isTaken) return
       back(() => {
         this.shed++
-        owner.limit.shed(agenda.now as Instant)
+        owner.limit.backOff(agenda.now as Instant)
         this.step(owner, { kind: 'finished', id, ending: 'notSent' })
       })
     })
--- a/bench/group/policies.ts
+++ b/bench/group/policies.ts
@@ -6,7 +6,7 @@
 import type { AdmissionRequest } from '../../src/core/admission/request.ts'
 import { FifoSlot } from '../load/fifo.ts'
 import type { Policy } from '../load/policy.ts'
-import { soonest } from '../../src/core/pool/reads/soonest.ts'
+import { rankEndpoints } from '../../src/core/pool/reads/rankendpoints.ts'
 import { AsBuilt } from './asbuilt.ts'
 import type { GroupPolicy } from './policy.ts'
 
@@ -29,15 +29,15 @@
   AsBuilt.but('one class', { admission: limits => changed(limits, request => ({ ...request, rank: 1 })) }),
   AsBuilt.but('what can make its aim goes first', { aim: (askedAt, aimMs) => askedAt + aimMs * START_SHARE }),
   AsBuilt.but('first come first served', { admission: limits => FifoSlot.earlier(limits.connections) }),
-  AsBuilt.but('reads go where they are answered soonest', { order: soonest, reportMs: REPORT_MS }),
-  AsBuilt.but('soonest, without reports', { order: soonest, reportMs: Infinity }),
+  AsBuilt.but('reads go where they are answered soonest', { order: rankEndpoints, reportMs: REPORT_MS }),
+  AsBuilt.but('soonest, without reports', { order: rankEndpoints, reportMs: Infinity }),
   AsBuilt.but('the sooner of two drawn by chance', { order: soonerOfTwo, reportMs: REPORT_MS })
 ]
 
 /** Against a herd that all hosts make up while their reports are old: one is left out by chance. */
-function soonerOfTwo (...[candidates, chance]: Parameters<typeof soonest>): ReturnType<typeof soonest> {
+function soonerOfTwo (...[candidates, chance]: Parameters<typeof rankEndpoints>): ReturnType<typeof rankEndpoints> {
   const out = candidates.length < 3 ? undefined : candidates[Math.floor(chance() * candidates.length)]?.id
-  const all = soonest(candidates, chance)
+  const all = rankEndpoints(candidates, chance)
   return [...all.filter(id => id !== out), ...all.filter(id => id === out)]
 }
 
--- a/bench/group/policy.ts
+++ b/bench/group/policy.ts
@@ -2,7 +2,7 @@
 
 import type { Limits } from '../../src/core/admission/limits.ts'
 import type { Instant } from '../../src/core/id/instant.ts'
-import type { soonest } from '../../src/core/pool/reads/soonest.ts'
+import type { rankEndpoints } from '../../src/core/pool/reads/rankendpoints.ts'
 import type { Policy } from '../load/policy.ts'
 
 export interface GroupPolicy {
@@ -12,7 +12,7 @@
   /** Decides for the connections of one host to one endpoint. */
   admission (limits: Limits): Policy
   /** Which endpoint a read uses by the time until its answer; undefined where it goes by what waits at its own host. */
-  readonly order?: typeof soonest | undefined
+  readonly order?: typeof rankEndpoints | undefined
   /** How often hosts report their load to each other, in milliseconds; infinite for never. */
   readonly reportMs?: number | undefined
   /** For how long an unused connection is kept, in milliseconds; undefined for as long as it lasts. `startedAt`, `refusedAt`: of the host, and of its last refused opening. */
--- a/bench/group/reports.ts
+++ b/bench/group/reports.ts
@@ -6,7 +6,7 @@
 /** Each host hears what all others have at this instant, until the next report. */
 export function spreadReports (hosts: ReadonlyArray<ModelHost | undefined>, listed: readonly Endpoint[]): void {
   const loads = hosts.map(host => listed.map(({ id }, at) => ({ atWork: host?.reads.health.atWork(id) ?? 0, waiting: host?.queued(at) ?? 0 })))
-  hosts.forEach((host, own) => host?.reads.takeOthers({
+  hosts.forEach((host, own) => host?.reads.setOthersLoad({
     at: id => {
       const at = listed.findIndex(endpoint => endpoint.id === id)
       const others = loads.filter((_, i) => i !== own).map(load => load[at]!)
--- a/src/cli/loadlines.ts
+++ b/src/cli/loadlines.ts
@@ -1,16 +1,16 @@
 /** A picture of load as lines for a terminal. */
 
 import { classes } from '../core/admission/classes.ts'
-import type { LoadPicture } from '../core/pool/load/picture.ts'
+import type { LoadSnapshot } from '../core/pool/load/loadsnapshot.ts'
 
-type Group = LoadPicture['groups'][number]
+type Group = LoadSnapshot['groups'][number]
 type Row = readonly string[]
 
 /** Teams of a group that are shown; `--json` has all that the hosts told. */
 const MOST_TEAMS = 5
 
 /** `silent`: hosts that didn't tell. */
-export function loadLines ({ hosts, groups }: LoadPicture, silent: readonly string[]): readonly string[] {
+export function loadLines ({ hosts, groups }: LoadSnapshot, silent: readonly string[]): readonly string[] {
   return [
     `${hosts.length} hosts told${silent.length === 0 ? '' : `, ${silent.length} did not: ${silent.join(', ')}`}`,
     ...groups.flatMap(group => ['', ...linesOf(group)])
--- a/src/cli/loadsurvey.ts
+++ b/src/cli/loadsurvey.ts
@@ -1,9 +1,9 @@
 /** Asks hosts for the pictures of their load, and makes one of them. */
 
-import { LoadPicture } from '../core/pool/load/picture.ts'
+import { LoadSnapshot } from '../core/pool/load/loadsnapshot.ts'
 
 interface Surveyed {
-  readonly picture: LoadPicture
+  readonly picture: LoadSnapshot
   /** Addresses of those that gave none. */
   readonly silent: readonly string[]
 }
@@ -15,7 +15,7 @@
 
 /** `addresses`: such as `10.0.0.1:9464`. Resolves always. */
 export async function surveyLoad (addresses: readonly string[]): Promise<Surveyed> {
-  let picture = LoadPicture.empty
+  let picture = LoadSnapshot.empty
   const silent: string[] = []
   for (let from = 0; from < addresses.length; from += AT_ONCE) {
     const asked = addresses.slice(from, from + AT_ONCE)
@@ -28,10 +28,10 @@
   return { picture, silent }
 }
 
-async function ask (address: string): Promise<LoadPicture | undefined> {
+async function ask (address: string): Promise<LoadSnapshot | undefined> {
   try {
     const res = await fetch(`http://${address}/load`, { signal: AbortSignal.timeout(ANSWER_MS) })
-    return LoadPicture.parse(await res.json())
+    return LoadSnapshot.parse(await res.json())
   } catch {
     return undefined
   }
--- a/src/core/pool/health/answers.test.ts
+++ b/src/core/pool/health/responsestats.test.ts
@@ -2,11 +2,11 @@
 
 import { describe, expect, it } from 'vitest'
 import type { Instant } from '../../id/instant.ts'
-import { Answers } from './answers.ts'
+import { ResponseStats } from './responsestats.ts'
 
 /** Answers as `at:ms`, `at:x` for a failure; `at:ms/crowd`. */
-function answers (...texts: string[]): Answers {
-  const it = Answers.create()
+function answers (...texts: string[]): ResponseStats {
+  const it = ResponseStats.create()
   for (const text of texts) {
     const [at, what] = text.split(':') as [string, string]
     const now = Number(at) as Instant
@@ -40,7 +40,7 @@
   })
 
   it('an endpoint whose queue is long isn\'t a slow one: its work on each is the same', () => {
-    const paceMs = (...whats: string[]) => answers(...each(10, ...whats)).paceMs(100 as Instant)
+    const paceMs = (...whats: string[]) => answers(...each(10, ...whats)).serviceTimeMs(100 as Instant)
     expect(paceMs('20', '20')).toBe(20)
     expect(paceMs('60/3', '60/3')).toBe(20)
   })
--- a/src/core/pool/load/connectionuse.ts
+++ b/src/core/pool/load/connectionusage.ts
@@ -3,7 +3,7 @@
 import type { TeamId } from '../../id/team.ts'
 import type { Instant } from '../../id/instant.ts'
 
-interface Use {
+interface DecayingCount {
   readonly count: number
   readonly at: Instant
 }
@@ -11,16 +11,16 @@
 /** A use counts half after so long: longer than a transaction, shorter than a team stays busy. Milliseconds. */
 const HALF_LIFE_MS = 2000
 /** A team whose uses have faded to this isn't kept in mind. */
-const FADED = 0.01
+const MIN_COUNT = 0.01
 
 /** Changes in place: it's touched by every operation. */
-export class ConnectionUse {
-  private readonly uses = new Map<TeamId, Use>()
+export class ConnectionUsage {
+  private readonly uses = new Map<TeamId, DecayingCount>()
 
   private constructor () {}
 
-  static create (): ConnectionUse {
-    return new ConnectionUse()
+  static create (): ConnectionUsage {
+    return new ConnectionUsage()
   }
 
   add (team: TeamId, now: Instant): void {
@@ -36,7 +36,7 @@
   /** Forgets teams that haven't come for long, so that the table doesn't grow with all teams ever seen. */
   tidy (now: Instant): void {
     for (const team of this.uses.keys()) {
-      if (this.of(team, now) < FADED) this.uses.delete(team)
+      if (this.of(team, now) < MIN_COUNT) this.uses.delete(team)
     }
   }
 }
--- a/src/core/pool/load/groupload.ts
+++ b/src/core/pool/load/groupload.ts
@@ -8,6 +8,6 @@
   readonly host: HostId
   readonly group: GroupId
   /** Grows with each report of one life of the host, so that one that was overtaken on its way is known. */
-  readonly number: number
+  readonly sequence: number
   readonly endpoints: readonly EndpointLoad[]
 }
--- a/src/core/pool/load/groupuse.ts
+++ b/src/core/pool/load/groupusage.ts
@@ -3,22 +3,22 @@
 import { classes } from '../../admission/classes.ts'
 import type { Instant } from '../../id/instant.ts'
 import type { TeamCount } from './teamcount.ts'
-import { TeamUse } from './teamuse.ts'
+import { TeamUsage } from './teamusage.ts'
 
-type Largest = ReturnType<TeamUse['largest']>
+type Largest = ReturnType<TeamUsage['largest']>
 
 /** What an explanation says of a refused statement. */
-interface Leader extends TeamCount {
+interface TopTeam extends TeamCount {
   /** Of all that was asked, from 0 to 1. */
   readonly part: number
 }
 
 /** Changes in place: each statement adds to it. */
-export class GroupUse {
-  private constructor (private readonly teams: TeamUse, private readonly byClass: TeamUse) {}
+export class GroupUsage {
+  private constructor (private readonly teams: TeamUsage, private readonly byClass: TeamUsage) {}
 
-  static create (now: Instant): GroupUse {
-    return new GroupUse(TeamUse.create(now), TeamUse.create(now))
+  static create (now: Instant): GroupUsage {
+    return new GroupUsage(TeamUsage.create(now), TeamUsage.create(now))
   }
 
   add (team: string, rank: number, ending: 'done' | 'refused', now: Instant): void {
@@ -40,7 +40,7 @@
   }
 
   /** The team that asked most; undefined when nobody asked lately. */
-  leader (now: Instant): Leader | undefined {
+  leader (now: Instant): TopTeam | undefined {
     const { teams: [first], rest } = this.teams.largest(1, now)
     if (first === undefined) return undefined
     const asked = first.done + first.refused
--- a/src/core/pool/load/report.ts
+++ b/src/core/pool/load/loadreport.ts
@@ -2,8 +2,8 @@
 
 import type { GroupLoad } from './groupload.ts'
 
-export interface Report {
+export interface LoadReport {
   /** Greater in each life of the host than in the one before, as far as its time of day wasn't set back. */
-  readonly life: number
+  readonly incarnation: number
   readonly load: GroupLoad
 }
--- a/src/core/pool/load/picture.test.ts
+++ b/src/core/pool/load/loadsnapshot.test.ts
@@ -1,14 +1,14 @@
 /** What the pictures of several hosts make together. */
 
 import { expect, it } from 'vitest'
-import { LoadPicture } from './picture.ts'
+import { LoadSnapshot } from './loadsnapshot.ts'
 
-type Group = LoadPicture['groups'][number]
+type Group = LoadSnapshot['groups'][number]
 
 const ENDPOINT = { endpoint: 'e', isPrimary: true, isLeaving: false, places: 5, connections: 4, atWork: 2, waiting: [0, 1, 2], unreached: 0 }
 
-function host (name: string, group: Partial<Group> = {}): LoadPicture {
-  return LoadPicture.of(name, [{
+function host (name: string, group: Partial<Group> = {}): LoadSnapshot {
+  return LoadSnapshot.of(name, [{
     group: 'g', owners: 1, classes: [{ done: 5, refused: 0 }, { done: 1, refused: 2 }], teams: [{ team: 'red', done: 6, refused: 2 }], rest: { done: 0, refused: 0 }, endpoints: [ENDPOINT], ...group
   }])
 }
@@ -24,10 +24,10 @@
 })
 
 it('keeps the largest teams of all hosts, and the others in one sum', () => {
-  const many = (name: string) => host(name, { teams: Array.from({ length: LoadPicture.mostTeams }, (_, i) => ({ team: `${name}-${i}`, done: i + 1, refused: 0 })) })
+  const many = (name: string) => host(name, { teams: Array.from({ length: LoadSnapshot.maxTeams }, (_, i) => ({ team: `${name}-${i}`, done: i + 1, refused: 0 })) })
   const [group] = many('a').with(many('b')).groups
   const { length } = group!.teams
-  expect([length, group!.teams[0]!.done, group!.teams.at(-1)!.done]).toEqual([LoadPicture.mostTeams, 16, 9])
+  expect([length, group!.teams[0]!.done, group!.teams.at(-1)!.done]).toEqual([LoadSnapshot.maxTeams, 16, 9])
   expect(group!.rest.done).toBe(2 * 36)
 })
 
@@ -36,5 +36,5 @@
   ['another program\'s page', { status: 'ok' }, false],
   ['nothing', undefined, false]
 ])('reads %s', (_name, value, isRead) => {
-  expect(LoadPicture.parse(value)).toEqual(isRead ? host('h1') : undefined)
+  expect(LoadSnapshot.parse(value)).toEqual(isRead ? host('h1') : undefined)
 })
--- a/src/core/pool/load/picture.ts
+++ b/src/core/pool/load/loadsnapshot.ts
@@ -35,37 +35,37 @@
 
 type Fields = z.output<typeof shape>
 type Group = Fields['groups'][number]
-type SeenEndpoint = Group['endpoints'][number]
+type Endpoint = Group['endpoints'][number]
 type Counts = Group['rest']
 
 /** Teams that are told of a group. */
-const MOST_TEAMS = 16
+const MAX_TEAMS = 16
 
 /** Immutable. */
-export class LoadPicture {
-  static readonly mostTeams = MOST_TEAMS
+export class LoadSnapshot {
+  static readonly maxTeams = MAX_TEAMS
 
   private constructor (readonly hosts: Fields['hosts'], readonly groups: readonly Group[]) {}
 
-  static readonly empty = new LoadPicture([], [])
+  static readonly empty = new LoadSnapshot([], [])
 
   /** What one host sees. */
-  static of (host: string, groups: readonly Group[]): LoadPicture {
-    return new LoadPicture([host], groups)
+  static of (host: string, groups: readonly Group[]): LoadSnapshot {
+    return new LoadSnapshot([host], groups)
   }
 
   /** Undefined when the value isn't a picture. */
-  static parse (value: unknown): LoadPicture | undefined {
+  static parse (value: unknown): LoadSnapshot | undefined {
     const parsed = shape.safeParse(value)
-    return parsed.success ? new LoadPicture(parsed.data.hosts, parsed.data.groups) : undefined
+    return parsed.success ? new LoadSnapshot(parsed.data.hosts, parsed.data.groups) : undefined
   }
 
   /** The picture of both; a host that is in both counts once. */
-  with (other: LoadPicture): LoadPicture {
+  with (other: LoadSnapshot): LoadSnapshot {
     if (other.hosts.some(host => this.hosts.includes(host))) return this
     const groups = new Map(this.groups.map(group => [group.group, group]))
-    for (const group of other.groups) groups.set(group.group, joined(group, groups.get(group.group)))
-    return new LoadPicture([...this.hosts, ...other.hosts].sort(), [...groups.values()].sort((a, b) => a.group < b.group ? -1 : 1))
+    for (const group of other.groups) groups.set(group.group, mergeGroups(group, groups.get(group.group)))
+    return new LoadSnapshot([...this.hosts, ...other.hosts].sort(), [...groups.values()].sort((a, b) => a.group < b.group ? -1 : 1))
   }
 
   toJSON (): Fields {
@@ -73,22 +73,22 @@
   }
 }
 
-function joined (a: Group, b: Group | undefined): Group {
+function mergeGroups (a: Group, b: Group | undefined): Group {
   if (b === undefined) return a
-  const ranked = merged(a.teams, b.teams, ({ team }) => team, (one, other) => ({ team: one.team, ...sum(one, other) }))
-    .sort((one, other) => asked(other) - asked(one))
+  const ranked = mergeByKey(a.teams, b.teams, ({ team }) => team, (one, other) => ({ team: one.team, ...sum(one, other) }))
+    .sort((one, other) => statementCount(other) - statementCount(one))
   return {
     group: a.group,
     owners: a.owners + b.owners,
     classes: longer(a.classes, b.classes).map((_, rank) => sum(a.classes[rank], b.classes[rank])),
-    teams: ranked.slice(0, MOST_TEAMS),
-    rest: ranked.slice(MOST_TEAMS).reduce(sum, sum(a.rest, b.rest)),
-    endpoints: merged(a.endpoints, b.endpoints, ({ endpoint }) => endpoint, both).sort((one, other) => one.endpoint < other.endpoint ? -1 : 1)
+    teams: ranked.slice(0, MAX_TEAMS),
+    rest: ranked.slice(MAX_TEAMS).reduce(sum, sum(a.rest, b.rest)),
+    endpoints: mergeByKey(a.endpoints, b.endpoints, ({ endpoint }) => endpoint, mergeEndpoints).sort((one, other) => one.endpoint < other.endpoint ? -1 : 1)
   }
 }
 
 /** Hosts may differ for a moment about who leads or leaves: one that says so is enough to be looked at. */
-function both (a: SeenEndpoint, b: SeenEndpoint): SeenEndpoint {
+function mergeEndpoints (a: Endpoint, b: Endpoint): Endpoint {
   return {
     endpoint: a.endpoint,
     isPrimary: a.isPrimary || b.isPrimary,
@@ -101,7 +101,7 @@
   }
 }
 
-function merged<T> (a: readonly T[], b: readonly T[], keyOf: (one: T) => string, join: (one: T, other: T) => T): T[] {
+function mergeByKey<T> (a: readonly T[], b: readonly T[], keyOf: (one: T) => string, join: (one: T, other: T) => T): T[] {
   const all = new Map(a.map(one => [keyOf(one), one]))
   for (const one of b) {
     const known = all.get(keyOf(one))
@@ -110,13 +110,13 @@
   return [...all.values()]
 }
 
-const NOTHING: Counts = { done: 0, refused: 0 }
+const NO_COUNTS: Counts = { done: 0, refused: 0 }
 
-function sum (a: Counts = NOTHING, b: Counts = NOTHING): Counts {
+function sum (a: Counts = NO_COUNTS, b: Counts = NO_COUNTS): Counts {
   return { done: a.done + b.done, refused: a.refused + b.refused }
 }
 
-function asked ({ done, refused }: Counts): number {
+function statementCount ({ done, refused }: Counts): number {
   return done + refused
 }
 
--- a/src/core/pool/load/othersload.ts
+++ b/src/core/pool/load/othersload.ts
@@ -3,7 +3,7 @@
 import type { EndpointId } from '../../id/endpoint.ts'
 import type { Instant } from '../../id/instant.ts'
 
-interface OthersAt {
+interface OthersEndpointLoad {
   /** Owners whose reports count. */
   readonly owners: number
   /** Statements and openings that these have at the endpoint. */
@@ -17,5 +17,5 @@
 }
 
 export interface OthersLoad {
-  at (endpoint: EndpointId, now: Instant): OthersAt
+  at (endpoint: EndpointId, now: Instant): OthersEndpointLoad
 }
--- a/src/core/pool/load/board.test.ts
+++ b/src/core/pool/load/ownerreports.test.ts
@@ -5,9 +5,9 @@
 import type { GroupId } from '../../id/group.ts'
 import type { HostId } from '../../id/host.ts'
 import type { Instant } from '../../id/instant.ts'
-import { LoadBoard } from './board.ts'
+import { OwnerReports } from './ownerreports.ts'
 import type { EndpointLoad } from './endpointload.ts'
-import { reportLine } from './reportline.ts'
+import { reportCodec } from './reportcodec.ts'
 
 const E = 'e' as EndpointId
 
@@ -15,19 +15,19 @@
 function report (text: string) {
   const [, host, life, number, atWork, waiting] = /^(\w)(\d+)\.(\d+) (?:(\d+)\/(\d+)|-)$/.exec(text)!
   const load: EndpointLoad = { endpoint: E, atWork: Number(atWork), waiting: Number(waiting), answerMs: 10 * Number(atWork), failing: 0 }
-  return { life: Number(life), load: { host: host as HostId, group: 'g' as GroupId, number: Number(number), endpoints: atWork === undefined ? [] : [load] } }
+  return { incarnation: Number(life), load: { host: host as HostId, group: 'g' as GroupId, sequence: Number(number), endpoints: atWork === undefined ? [] : [load] } }
 }
 
 /** Reports as `AT: REPORT`, on a board of the owners a, b and c. */
-function boardOf (...heard: string[]): LoadBoard {
+function boardOf (...heard: string[]): OwnerReports {
   return heard.reduce((board, line) => {
     const [at, text] = line.split(': ')
     return board.with(report(text!), Number(at) as Instant)
-  }, LoadBoard.empty.among(['a', 'b', 'c'] as HostId[]))
+  }, OwnerReports.empty.forOwners(['a', 'b', 'c'] as HostId[]))
 }
 
 /** Owners, at work, waiting. */
-function shown (board: LoadBoard, now: number): string {
+function shown (board: OwnerReports, now: number): string {
   const { owners, atWork, waiting } = board.at(E, now as Instant)
   return `${owners}: ${atWork}/${waiting}`
 }
@@ -53,7 +53,7 @@
   })
 
   it('of an owner that is none any more are dropped with it', () => {
-    expect(shown(boardOf('0: a1.1 3/4', '0: b1.1 1/0').among(['b'] as HostId[]), 0)).toBe('1: 1/0')
+    expect(shown(boardOf('0: a1.1 3/4', '0: b1.1 1/0').forOwners(['b'] as HostId[]), 0)).toBe('1: 1/0')
   })
 
   // Statements are held back, or sent elsewhere, for load that isn't there any more.
@@ -62,7 +62,7 @@
     const board = boardOf('0: a1.1 3/4', '0: b1.1 -')
     expect(board.silent(299 as Instant)).toEqual([])
     expect(board.silent(300 as Instant)).toEqual(['a'])
-    const dropped = board.current(300 as Instant)
+    const dropped = board.withoutExpired(300 as Instant)
     expect(dropped.silent(400 as Instant)).toEqual([])
     expect(shown(dropped.with(report('a1.1 3/4'), 400 as Instant), 400)).toBe('0: 0/0')
   })
@@ -71,8 +71,8 @@
 describe('a report', () => {
   it('reads as it was written', () => {
     const made = report('a1.2 3/4')
-    expect(reportLine.decode(reportLine.encode(made))).toEqual(made)
+    expect(reportCodec.decode(reportCodec.encode(made))).toEqual(made)
   })
 
-  it.each(['', '{}', '["a","g",1,2]', '["a","g",1,2,[["e",-1,0,null,0]]]', '["a","g",1,2,[["e",1,0,null,2]]]', '{"ask":1}'])('that is %s can\'t be read', text => expect(reportLine.decode(text)).toBeUndefined())
+  it.each(['', '{}', '["a","g",1,2]', '["a","g",1,2,[["e",-1,0,null,0]]]', '["a","g",1,2,[["e",1,0,null,2]]]', '{"ask":1}'])('that is %s can\'t be read', text => expect(reportCodec.decode(text)).toBeUndefined())
 })
--- a/src/core/pool/load/board.ts
+++ b/src/core/pool/load/ownerreports.ts
@@ -5,11 +5,11 @@
 import type { Instant } from '../../id/instant.ts'
 import type { EndpointLoad } from './endpointload.ts'
 import type { OthersLoad } from './othersload.ts'
-import type { Report } from './report.ts'
+import type { LoadReport } from './loadreport.ts'
 import { reportPeriod } from './reportperiod.ts'
 
-interface Heard {
-  readonly report: Report
+interface ReceivedReport {
+  readonly report: LoadReport
   /** On this host's clock; a report says nothing of times. */
   readonly at: Instant
 }
@@ -21,43 +21,43 @@
  * and one of a host that owns the group no more is dropped with it. A host that wakes may still send what it wrote before; that counts for one
  * period, until its next report.
  */
-export class LoadBoard implements OthersLoad {
+export class OwnerReports implements OthersLoad {
   private constructor (
-    private readonly others: ReadonlySet<HostId>,
-    private readonly heard: ReadonlyMap<HostId, Heard>
+    private readonly otherOwners: ReadonlySet<HostId>,
+    private readonly heard: ReadonlyMap<HostId, ReceivedReport>
   ) {}
 
   /** Without other owners. */
-  static readonly empty = new LoadBoard(new Set(), new Map())
+  static readonly empty = new OwnerReports(new Set(), new Map())
 
   /** For these other owners from now on. */
-  among (others: readonly HostId[]): LoadBoard {
+  forOwners (others: readonly HostId[]): OwnerReports {
     const ids = new Set(others)
-    return new LoadBoard(ids, new Map([...this.heard].filter(([id]) => ids.has(id))))
+    return new OwnerReports(ids, new Map([...this.heard].filter(([id]) => ids.has(id))))
   }
 
-  with (report: Report, now: Instant): LoadBoard {
+  with (report: LoadReport, now: Instant): OwnerReports {
     const { host } = report.load
     const known = this.heard.get(host)
-    if (!this.others.has(host) || (known !== undefined && !this.isNewer(report, known, now))) return this
-    return new LoadBoard(this.others, new Map([...this.heard, [host, { report, at: now }]]))
+    if (!this.otherOwners.has(host) || (known !== undefined && !this.isNewer(report, known, now))) return this
+    return new OwnerReports(this.otherOwners, new Map([...this.heard, [host, { report, at: now }]]))
   }
 
   /** Owners that have gone silent with load: one that becomes idle says so. */
   silent (now: Instant): readonly HostId[] {
-    const isAtWork = ({ report }: Heard) => report.load.endpoints.some(({ atWork, waiting }) => atWork + waiting > 0)
-    return [...this.heard].filter(([, heard]) => !this.isCounting(heard, now) && isAtWork(heard)).map(([id]) => id)
+    const isAtWork = ({ report }: ReceivedReport) => report.load.endpoints.some(({ atWork, waiting }) => atWork + waiting > 0)
+    return [...this.heard].filter(([, heard]) => !this.isValid(heard, now) && isAtWork(heard)).map(([id]) => id)
   }
 
   /** Without the loads that count no more; the numbers stay, so that older ones aren't taken for new. */
-  current (now: Instant): LoadBoard {
+  withoutExpired (now: Instant): OwnerReports {
     if (this.silent(now).length === 0) return this
-    const emptied = ({ report: { life, load }, at }: Heard): Heard => ({ at, report: { life, load: { ...load, endpoints: [] } } })
-    return new LoadBoard(this.others, new Map([...this.heard].map(([id, heard]) => [id, this.isCounting(heard, now) ? heard : emptied(heard)])))
+    const emptied = ({ report: { incarnation: life, load }, at }: ReceivedReport): ReceivedReport => ({ at, report: { incarnation: life, load: { ...load, endpoints: [] } } })
+    return new OwnerReports(this.otherOwners, new Map([...this.heard].map(([id, heard]) => [id, this.isValid(heard, now) ? heard : emptied(heard)])))
   }
 
   at (endpoint: EndpointId, now: Instant): ReturnType<OthersLoad['at']> {
-    const counting = [...this.heard.values()].filter(heard => this.isCounting(heard, now))
+    const counting = [...this.heard.values()].filter(heard => this.isValid(heard, now))
     const loads = counting.flatMap(({ report }) => report.load.endpoints.filter(load => load.endpoint === endpoint))
     const timed = loads.flatMap(({ answerMs }) => answerMs === undefined ? [] : [answerMs])
     return {
@@ -70,14 +70,14 @@
   }
 
   /** Of a life that may be an earlier one, since the time of day was set, a report is taken once the later one says no more. */
-  private isNewer ({ life, load }: Report, known: Heard, now: Instant): boolean {
+  private isNewer ({ incarnation: life, load }: LoadReport, known: ReceivedReport, now: Instant): boolean {
     const { report } = known
-    if (life === report.life) return load.number > report.load.number
-    return life > report.life || !this.isCounting(known, now)
+    if (life === report.incarnation) return load.sequence > report.load.sequence
+    return life > report.incarnation || !this.isValid(known, now)
   }
 
-  private isCounting ({ at }: Heard, now: Instant): boolean {
-    return now - at < reportPeriod.countedMs(this.others.size)
+  private isValid ({ at }: ReceivedReport, now: Instant): boolean {
+    return now - at < reportPeriod.validMs(this.otherOwners.size)
   }
 }
 
--- a/src/core/pool/load/placelimit.test.ts
+++ b/src/core/pool/load/placelimit.test.ts
@@ -3,11 +3,11 @@
 import { describe, expect, it } from 'vitest'
 import type { Instant } from '../../id/instant.ts'
 import { PlaceLimit } from './placelimit.ts'
-import { unheard } from './unheard.ts'
+import { noReports } from './noreports.ts'
 
 const at = (ms: number) => ms as Instant
 const others = (owners: number, atWork: number, waiting: number) => ({ owners, atWork, waiting, answerMs: undefined, failing: 0 })
-const nobody = unheard.at('e' as never, at(0))
+const nobody = noReports.at('e' as never, at(0))
 
 describe('of five places and three to spare', () => {
   it.each<[string, number, ReturnType<typeof others>, number]>([
@@ -32,9 +32,9 @@
     const limit = PlaceLimit.create(5, 0, at(0))
     const used = (ms: number) => limit.at(20, others(1, 0, 0), at(ms))
     expect(used(0)).toBe(8)
-    for (const ms of [10, 11, 12]) limit.shed(at(ms))
+    for (const ms of [10, 11, 12]) limit.backOff(at(ms))
     expect(used(20)).toBe(4)
-    limit.shed(at(120))
+    limit.backOff(at(120))
     expect([used(130), used(340), used(560)]).toEqual([2, 3, 4])
   })
 
--- a/src/core/pool/load/placelimit.ts
+++ b/src/core/pool/load/placelimit.ts
@@ -4,25 +4,25 @@
 import { LatencyLimit } from './latencylimit.ts'
 import type { OthersLoad } from './othersload.ts'
 
-type Others = ReturnType<OthersLoad['at']>
+type OthersLoadAtEndpoint = ReturnType<OthersLoad['at']>
 
 /**
  * Beside the places that work, so many for each may be on their way there. Without them places idle for a round trip, and while an owner
  * doesn't know yet that another one uses less than its part.
  */
-const SPARE = 1 / 2
+const SPARE_RATIO = 1 / 2
 /** While no other owner is heard this host uses at most so much: others are more likely unheard than gone. */
-const UNHEARD = 1 / 2
+const NO_REPORTS_RATIO = 1 / 2
 /** How fast the mean of this host's own demand follows: a few statements' time. Milliseconds. */
-const FOLLOW_MS = 50
+const DEMAND_TIME_CONSTANT_MS = 50
 /** Within this time an owner that is due one place and a half has one for half of it and two for the other. Milliseconds. */
-const PERIOD_MS = 40
+const ROUNDING_PERIOD_MS = 40
 /** Against owners that aren't heard: after a refusal for want of room this host uses half as much, */
-const BACK_OFF = 0.5
+const BACKOFF_FACTOR = 0.5
 /** at most once within the time in which what it sent before is answered, */
-const BACK_OFF_EVERY_MS = 100
+const BACKOFF_INTERVAL_MS = 100
 /** and one place more each time this passes while some wait. */
-const CLIMB_EVERY_MS = 200
+const RAISE_INTERVAL_MS = 200
 
 /**
  * The places, and some to spare, are shared between the owners of a group by their demand, as their reports tell it. An owner with demand has
@@ -34,17 +34,17 @@
  */
 export class PlaceLimit {
   private ceiling: number
-  private mean = 0
+  private meanDemand = 0
   private last = 0
-  private countedAt: Instant
-  private climbedAt: Instant
-  private readonly byLatency = LatencyLimit.create()
+  private demandAt: Instant
+  private raisedAt: Instant
+  private readonly latencyLimit = LatencyLimit.create()
   private backedOffAt = -Infinity as Instant
 
   private constructor (private places: number, private readonly phase: number, now: Instant) {
     this.ceiling = this.capacity
-    this.countedAt = now
-    this.climbedAt = now
+    this.demandAt = now
+    this.raisedAt = now
   }
 
   /** `phase`: chance in [0, 1), so that owners that are due parts of a place don't take them at one moment. */
@@ -60,37 +60,37 @@
   }
 
   /** `demand`: what this host has at the endpoint and waiting for it. At least 1. */
-  at (demand: number, others: Others, now: Instant): number {
-    this.follow(demand, now)
-    this.climb(demand, now)
-    const part = others.owners === 0 ? Math.min(this.unheard, this.byLatency.places) : this.shareOf(Math.max(demand, this.mean), others)
+  at (demand: number, others: OthersLoadAtEndpoint, now: Instant): number {
+    this.updateMeanDemand(demand, now)
+    this.raiseCeiling(demand, now)
+    const part = others.owners === 0 ? Math.min(this.limitWithoutReports, this.latencyLimit.places) : this.shareFor(Math.max(demand, this.meanDemand), others)
     const due = Math.min(this.ceiling, part)
-    const turn = (now / PERIOD_MS + this.phase) % 1
+    const turn = (now / ROUNDING_PERIOD_MS + this.phase) % 1
     return Math.max(1, Math.floor(due + turn))
   }
 
   /** `ms`: from sending a statement of the class to its answer. */
   answered (ms: number, rank: number, now: Instant): void {
-    this.byLatency.answered(ms, rank, this.unheard, now)
+    this.latencyLimit.answered(ms, rank, this.limitWithoutReports, now)
   }
 
   /** The endpoint refused something for want of room. */
-  shed (now: Instant): void {
-    if (now - this.backedOffAt < BACK_OFF_EVERY_MS) return
+  backOff (now: Instant): void {
+    if (now - this.backedOffAt < BACKOFF_INTERVAL_MS) return
     this.backedOffAt = now
-    this.climbedAt = now
-    this.ceiling = Math.max(1, this.ceiling * BACK_OFF)
+    this.raisedAt = now
+    this.ceiling = Math.max(1, this.ceiling * BACKOFF_FACTOR)
   }
 
   private get capacity (): number {
-    return this.places + Math.ceil(this.places * SPARE)
+    return this.places + Math.ceil(this.places * SPARE_RATIO)
   }
 
-  private get unheard (): number {
-    return Math.ceil(this.capacity * UNHEARD)
+  private get limitWithoutReports (): number {
+    return Math.ceil(this.capacity * NO_REPORTS_RATIO)
   }
 
-  private shareOf (own: number, { owners, atWork, waiting }: Others): number {
+  private shareFor (own: number, { owners, atWork, waiting }: OthersLoadAtEndpoint): number {
     const { capacity } = this
     const theirs = atWork + waiting
     if (own + theirs <= capacity) return capacity - theirs
@@ -98,16 +98,16 @@
     return Math.max(equal, Math.min(capacity - atWork, capacity * own / (own + theirs)))
   }
 
-  private follow (demand: number, now: Instant): void {
-    const kept = Math.exp(-(now - this.countedAt) / FOLLOW_MS)
-    this.mean = this.last + (this.mean - this.last) * kept
+  private updateMeanDemand (demand: number, now: Instant): void {
+    const kept = Math.exp(-(now - this.demandAt) / DEMAND_TIME_CONSTANT_MS)
+    this.meanDemand = this.last + (this.meanDemand - this.last) * kept
     this.last = demand
-    this.countedAt = now
+    this.demandAt = now
   }
 
-  private climb (demand: number, now: Instant): void {
-    if (now - this.climbedAt < CLIMB_EVERY_MS) return
-    this.climbedAt = now
+  private raiseCeiling (demand: number, now: Instant): void {
+    if (now - this.raisedAt < RAISE_INTERVAL_MS) return
+    this.raisedAt = now
     if (demand > this.ceiling) this.ceiling = Math.min(this.capacity, this.ceiling + 1)
   }
 }
--- a/src/core/pool/load/placeline.ts
+++ b/src/core/pool/load/placequeue.ts
@@ -7,7 +7,7 @@
 import type { Instant } from '../../id/instant.ts'
 import type { PlaceOrder } from './placeorder.ts'
 
-interface Waiting {
+interface WaitingOrder {
   readonly order: PlaceOrder
   /** The same as its queue knows it. */
   readonly request: AdmissionRequest
@@ -16,16 +16,16 @@
 const KINDS = ['next', 'first', 'opening'] as const
 
 /** One queue for each kind, fair between callers. Changes in place, like the queues that it holds. */
-export class PlaceLine {
+export class PlaceQueue {
   /** How long its statements hold a place. */
   readonly service = ServiceTime.create()
   private readonly queues = { next: FairQueue.create(), first: FairQueue.create(), opening: FairQueue.create() }
-  private readonly waiting = new Map<number, Waiting>()
+  private readonly waiting = new Map<number, WaitingOrder>()
 
   private constructor () {}
 
-  static create (): PlaceLine {
-    return new PlaceLine()
+  static create (): PlaceQueue {
+    return new PlaceQueue()
   }
 
   get size (): number {
@@ -38,7 +38,7 @@
   }
 
   push (order: PlaceOrder): void {
-    const request = asRequest(order)
+    const request = toRequest(order)
     this.waiting.set(order.id, { order, request })
     this.queues[order.what].push(request)
   }
@@ -88,6 +88,6 @@
   }
 }
 
-function asRequest ({ id, rank, caller, deadline, aim, what }: PlaceOrder): AdmissionRequest {
+function toRequest ({ id, rank, caller, deadline, aim, what }: PlaceOrder): AdmissionRequest {
   return { id, rank, caller, deadline, aim, isTransaction: what === 'next' }
 }
--- a/src/core/pool/load/placegate.test.ts
+++ b/src/core/pool/load/placescheduler.test.ts
@@ -3,13 +3,13 @@
 import { describe, expect, it } from 'vitest'
 import type { CallerId } from '../../id/caller.ts'
 import type { Instant } from '../../id/instant.ts'
-import { PlaceGate } from './placegate.ts'
+import { PlaceScheduler } from './placescheduler.ts'
 import type { PlaceEvent } from './placeevent.ts'
 import type { PlaceOrder } from './placeorder.ts'
 
 /** A gate with so many places, and what it said: ids that started, and those refused as `-id`. */
 class Bench {
-  readonly gate = PlaceGate.create()
+  readonly gate = PlaceScheduler.create()
   readonly said: number[] = []
   now = 0
 
--- a/src/core/pool/load/placegate.ts
+++ b/src/core/pool/load/placescheduler.ts
@@ -12,7 +12,7 @@
 import type { Instant } from '../../id/instant.ts'
 import type { PlaceAction } from './placeaction.ts'
 import type { PlaceEvent } from './placeevent.ts'
-import { PlaceLine } from './placeline.ts'
+import { PlaceQueue } from './placequeue.ts'
 import type { PlaceOrder } from './placeorder.ts'
 
 interface Held {
@@ -23,37 +23,37 @@
 }
 
 /** One start in so many goes to a lower class that waits, so that none starves. */
-const TURNS = 16
+const MAX_SKIPPED_STARTS = 16
 /**
  * Openings hold at most this part of the places, and get at most this part of the starts while statements wait. Without a bound a queue makes
  * callers lack connections, and the openings for these make the queue longer.
  */
 const OPENING_SHARE = 1 / 4
 /** So many times the mean gap between two starts counts as a stall. */
-const STALL = 8
+const STALL_FACTOR = 8
 /** What waits is given up only when even this share of the estimated wait is too long: estimates swing. */
-const HOPELESS = 0.5
+const GIVE_UP_FACTOR = 0.5
 
 /** Changes in place: it's stepped twice a statement, and its queues would be copied each time. */
-export class PlaceGate {
-  private readonly lines = classes.map(() => PlaceLine.create())
+export class PlaceScheduler {
+  private readonly queues = classes.map(() => PlaceQueue.create())
   private readonly openingTime = ServiceTime.create()
   /** Starts of others since the class had one while it waited. */
-  private readonly passed = classes.map(() => 0)
+  private readonly skippedStarts = classes.map(() => 0)
   private readonly orders = new Map<number, PlaceOrder>()
   private readonly held = new Map<number, Held>()
   private openings = 0
   /** Starts of statements since the last opening. */
-  private sinceOpening = Infinity
+  private startsSinceOpening = Infinity
   /** Since when some wait and none has started. */
-  private stuckSince = 0 as Instant
+  private stalledSince = 0 as Instant
   private limit = 1
   private actions: PlaceAction[] = []
 
   private constructor () {}
 
-  static create (): PlaceGate {
-    return new PlaceGate()
+  static create (): PlaceScheduler {
+    return new PlaceScheduler()
   }
 
   /** Statements and openings at the endpoint. */
@@ -69,10 +69,10 @@
   step (event: PlaceEvent, limit: number, now: Instant): readonly PlaceAction[] {
     this.actions = []
     this.limit = limit
-    const ahead = event.kind === 'arrived' ? this.line(event.order).aheadOf(event.order, now) : 0
-    this.take(event, now)
+    const ahead = event.kind === 'arrived' ? this.queueOf(event.order).aheadOf(event.order, now) : 0
+    this.handle(event, now)
     this.startAll(now)
-    if (event.kind === 'arrived') this.reconsider(event.order, ahead, now)
+    if (event.kind === 'arrived') this.refuseIfTooLate(event.order, ahead, now)
     return this.actions
   }
 
@@ -81,67 +81,67 @@
     return this.openingTime.at(now)
   }
 
-  private take (event: PlaceEvent, now: Instant): void {
+  private handle (event: PlaceEvent, now: Instant): void {
     switch (event.kind) {
       case 'arrived':
-        if (this.orders.size === 0) this.stuckSince = now
+        if (this.orders.size === 0) this.stalledSince = now
         this.orders.set(event.order.id, event.order)
-        return this.line(event.order).push(event.order)
-      case 'finished': return this.finished(event.id, event.ending, now)
-      case 'cancelled': return this.drop(this.orders.get(event.id))
+        return this.queueOf(event.order).push(event.order)
+      case 'finished': return this.finish(event.id, event.ending, now)
+      case 'cancelled': return this.remove(this.orders.get(event.id))
       case 'unreachable':
         for (const order of [...this.orders.values()]) this.refuse(order)
         return
-      case 'tick': return this.sweep(now)
+      case 'tick': return this.refuseExpired(now)
     }
   }
 
-  private finished (id: number, ending: 'answered' | 'cutOff' | 'notSent', now: Instant): void {
+  private finish (id: number, ending: 'answered' | 'cutOff' | 'notSent', now: Instant): void {
     const held = this.held.get(id)
     if (held === undefined) return
     const { order, since, charged } = held
     this.held.delete(id)
     if (order.what === 'opening') this.openings--
     const ms = now - since
-    const time = this.timeOf(order)
+    const time = this.serviceTimeOf(order)
     if (ending === 'answered') time.add(ms, now)
     if (ending === 'cutOff') time.addCutOff(ms, now)
-    this.line(order).charge(order.caller, ms - charged)
+    this.queueOf(order).charge(order.caller, ms - charged)
   }
 
   private startAll (now: Instant): void {
     for (;;) {
-      const order = this.held.size < this.limit ? this.next(now) : this.urgent(now)
+      const order = this.held.size < this.limit ? this.nextOrder(now) : this.nextUrgentOrder(now)
       if (order === undefined) return
-      this.drop(order)
-      const charged = this.timeOf(order).at(now)
+      this.remove(order)
+      const charged = this.serviceTimeOf(order).at(now)
       if (charged > order.deadline - now) this.actions.push({ kind: 'refuse', id: order.id })
       else this.start(order, charged, now)
     }
   }
 
   private start (order: PlaceOrder, charged: number, now: Instant): void {
-    this.line(order).charge(order.caller, charged)
+    this.queueOf(order).charge(order.caller, charged)
     this.held.set(order.id, { order, since: now, charged })
     if (order.what === 'opening') {
       this.openings++
-      this.sinceOpening = 0
-    } else this.sinceOpening++
-    this.passed[order.rank] = 0
+      this.startsSinceOpening = 0
+    } else this.startsSinceOpening++
+    this.skippedStarts[order.rank] = 0
     for (let lower = order.rank + 1; lower < classes.length; lower++) {
-      this.passed[lower] = this.lines[lower]!.size > 0 ? this.passed[lower]! + 1 : 0
+      this.skippedStarts[lower] = this.queues[lower]!.size > 0 ? this.skippedStarts[lower]! + 1 : 0
     }
-    this.stuckSince = now
+    this.stalledSince = now
     this.actions.push({ kind: 'start', id: order.id })
   }
 
-  private next (now: Instant): PlaceOrder | undefined {
+  private nextOrder (now: Instant): PlaceOrder | undefined {
     for (let rank = classes.length - 1; rank > 0; rank--) {
-      const owed = this.passed[rank]! >= TURNS ? this.lines[rank]!.peek(this.mayOpen(rank), now) : undefined
+      const owed = this.skippedStarts[rank]! >= MAX_SKIPPED_STARTS ? this.queues[rank]!.peek(this.isOpeningAllowed(rank), now) : undefined
       if (owed !== undefined) return owed
     }
     for (let rank = 0; rank < classes.length; rank++) {
-      const order = this.lines[rank]!.peek(this.mayOpen(rank), now)
+      const order = this.queues[rank]!.peek(this.isOpeningAllowed(rank), now)
       if (order !== undefined) return order
     }
     return undefined
@@ -151,61 +151,61 @@
    * The most urgent class may use one place beyond the limit while it has none. A host whose only place has a long statement would else keep
    * an urgent one waiting for its whole time, though other hosts' places come free meanwhile.
    */
-  private urgent (now: Instant): PlaceOrder | undefined {
+  private nextUrgentOrder (now: Instant): PlaceOrder | undefined {
     if (this.held.size > this.limit) return undefined
     for (const { order: { rank } } of this.held.values()) {
       if (rank === 0) return undefined
     }
-    return this.lines[0]!.peek(this.mayOpen(0), now)
+    return this.queues[0]!.peek(this.isOpeningAllowed(0), now)
   }
 
   /** An opening of the class goes before statements of lower ones, but only in its turn beside those of its own and of higher ones. */
-  private mayOpen (rank: number): boolean {
+  private isOpeningAllowed (rank: number): boolean {
     if (this.openings >= Math.max(1, Math.floor(this.limit * OPENING_SHARE))) return false
-    return this.sinceOpening + 1 >= 1 / OPENING_SHARE || this.lines.every(({ statements }, other) => other > rank || statements === 0)
+    return this.startsSinceOpening + 1 >= 1 / OPENING_SHARE || this.queues.every(({ statements }, other) => other > rank || statements === 0)
   }
 
   /** Refuses an order that has just come and waits, if it's known that it can't be done in its time. */
-  private reconsider (order: PlaceOrder, ahead: number, now: Instant): void {
+  private refuseIfTooLate (order: PlaceOrder, ahead: number, now: Instant): void {
     if (!this.orders.has(order.id)) return
-    if (this.waitMs(order, ahead, now) + this.timeOf(order).at(now) > order.deadline - now) this.refuse(order)
+    if (this.waitMs(order, ahead, now) + this.serviceTimeOf(order).at(now) > order.deadline - now) this.refuse(order)
   }
 
   /** Gives up what can't make its deadline any more: with an endpoint that hangs, no place comes back and nothing else would end the wait. */
-  private sweep (now: Instant): void {
-    for (const line of this.lines) {
+  private refuseExpired (now: Instant): void {
+    for (const line of this.queues) {
       line.tidy()
       const late = [...line.inTurn(now)].filter(([order, ahead]) =>
-        this.waitMs(order, ahead, now) * HOPELESS + this.timeOf(order).at(now) > order.deadline - now)
+        this.waitMs(order, ahead, now) * GIVE_UP_FACTOR + this.serviceTimeOf(order).at(now) > order.deadline - now)
       for (const [order] of late) this.refuse(order)
     }
   }
 
   /** The time until an order with so many of its class ahead gets a place. */
   private waitMs (order: PlaceOrder, ahead: number, now: Instant): number {
-    let work = ahead * this.line(order).service.at(now)
-    for (let higher = 0; higher < order.rank; higher++) work += this.lines[higher]!.size * this.lines[higher]!.service.at(now)
+    let work = ahead * this.queueOf(order).service.at(now)
+    for (let higher = 0; higher < order.rank; higher++) work += this.queues[higher]!.size * this.queues[higher]!.service.at(now)
     // A class that is passed over has its turns nevertheless.
-    const ownTurns = (ahead + 1) * TURNS * this.line(order).service.at(now)
-    return Math.max(Math.min(work, ownTurns) / this.limit, (ahead + 1) * (now - this.stuckSince) / STALL)
+    const ownTurns = (ahead + 1) * MAX_SKIPPED_STARTS * this.queueOf(order).service.at(now)
+    return Math.max(Math.min(work, ownTurns) / this.limit, (ahead + 1) * (now - this.stalledSince) / STALL_FACTOR)
   }
 
   private refuse (order: PlaceOrder): void {
-    this.drop(order)
+    this.remove(order)
     this.actions.push({ kind: 'refuse', id: order.id })
   }
 
-  private drop (order: PlaceOrder | undefined): void {
+  private remove (order: PlaceOrder | undefined): void {
     if (order === undefined) return
     this.orders.delete(order.id)
-    this.line(order).remove(order)
+    this.queueOf(order).remove(order)
   }
 
-  private line ({ rank }: PlaceOrder): PlaceLine {
-    return this.lines[rank]!
+  private queueOf ({ rank }: PlaceOrder): PlaceQueue {
+    return this.queues[rank]!
   }
 
-  private timeOf (order: PlaceOrder): ServiceTime {
-    return order.what === 'opening' ? this.openingTime : this.line(order).service
+  private serviceTimeOf (order: PlaceOrder): ServiceTime {
+    return order.what === 'opening' ? this.openingTime : this.queueOf(order).service
   }
 }
--- a/src/core/pool/load/reportline.ts
+++ b/src/core/pool/load/reportcodec.ts
@@ -6,40 +6,40 @@
 import type { GroupId } from '../../id/group.ts'
 import type { HostId } from '../../id/host.ts'
 import type { EndpointLoad } from './endpointload.ts'
-import type { Report } from './report.ts'
+import type { LoadReport } from './loadreport.ts'
 
 /** A report fits a datagram that no link splits: this many endpoints at about 60 bytes each. */
-const MOST_ENDPOINTS = 20
+const MAX_ENDPOINTS = 20
 
 /** In lists, for their bytes: endpoint, at work, waiting, milliseconds to the answer, the part that fails. */
 const endpointShape = z.tuple([z.string(), z.int().nonnegative(), z.int().nonnegative(), z.number().nonnegative().nullable(), z.number().min(0).max(1)])
 /** Host, group, life, number, endpoints. */
-const shape = z.tuple([z.string(), z.string(), z.int(), z.int().nonnegative(), z.array(endpointShape).max(MOST_ENDPOINTS)])
+const shape = z.tuple([z.string(), z.string(), z.int(), z.int().nonnegative(), z.array(endpointShape).max(MAX_ENDPOINTS)])
 
-export const reportLine = {
+export const reportCodec = {
   /** Of more endpoints than fit, those with the most load are told. */
-  encode: ({ life, load: { host, group, number, endpoints } }: Report): string => {
-    const most = [...endpoints].sort((a, b) => b.atWork + b.waiting - a.atWork - a.waiting).slice(0, MOST_ENDPOINTS)
-    return JSON.stringify([host, group, life, number, most.map(written)])
+  encode: ({ incarnation: life, load: { host, group, sequence: number, endpoints } }: LoadReport): string => {
+    const most = [...endpoints].sort((a, b) => b.atWork + b.waiting - a.atWork - a.waiting).slice(0, MAX_ENDPOINTS)
+    return JSON.stringify([host, group, life, number, most.map(encodeEndpoint)])
   },
 
   /** Undefined for a text that can't be read, such as that of another program. */
-  decode: (text: string): Report | undefined => {
+  decode: (text: string): LoadReport | undefined => {
     const parsed = shape.safeParse(readJson(text))
     if (!parsed.success) return undefined
     const [host, group, life, number, endpoints] = parsed.data
     return {
-      life,
+      incarnation: life,
       load: {
         host: host as HostId,
         group: group as GroupId,
-        number,
+        sequence: number,
         endpoints: endpoints.map(([id, atWork, waiting, answerMs, failing]) => ({ endpoint: id as EndpointId, atWork, waiting, answerMs: answerMs ?? undefined, failing }))
       }
     }
   }
 }
 
-function written ({ endpoint, atWork, waiting, answerMs, failing }: EndpointLoad): z.input<typeof endpointShape> {
+function encodeEndpoint ({ endpoint, atWork, waiting, answerMs, failing }: EndpointLoad): z.input<typeof endpointShape> {
   return [endpoint, atWork, waiting, answerMs === undefined ? null : Math.round(answerMs * 10) / 10, Math.round(failing * 1000) / 1000]
 }
--- a/src/core/pool/load/told.ts
+++ b/src/core/pool/load/reportschedule.ts
@@ -5,22 +5,22 @@
 import { reportPeriod } from './reportperiod.ts'
 
 /** Timers fire a little early or late; a report isn't put off to the next look for that. Milliseconds. */
-const EARLY_MS = 10
+const TIMER_TOLERANCE_MS = 10
 
 /** Immutable; each report yields the next value. */
-export class Told {
+export class ReportSchedule {
   private constructor (private readonly at: Instant, private readonly wasIdle: boolean) {}
 
-  static readonly nothing = new Told(-Infinity as Instant, true)
+  static readonly initial = new ReportSchedule(-Infinity as Instant, true)
 
   /** Each period while there is load, and once when there is none any more. */
   isDue (loads: readonly EndpointLoad[], others: number, now: Instant): boolean {
     if (others === 0 || (this.wasIdle && isIdle(loads))) return false
-    return now - this.at >= reportPeriod.msFor(others) - EARLY_MS
+    return now - this.at >= reportPeriod.msFor(others) - TIMER_TOLERANCE_MS
   }
 
-  with (loads: readonly EndpointLoad[], now: Instant): Told {
-    return new Told(now, isIdle(loads))
+  with (loads: readonly EndpointLoad[], now: Instant): ReportSchedule {
+    return new ReportSchedule(now, isIdle(loads))
   }
 }
 
--- a/src/core/pool/load/teamuse.test.ts
+++ b/src/core/pool/load/teamusage.test.ts
@@ -2,12 +2,12 @@
 
 import { expect, it } from 'vitest'
 import type { Instant } from '../../id/instant.ts'
-import { TeamUse } from './teamuse.ts'
+import { TeamUsage } from './teamusage.ts'
 
 const at = (ms: number) => ms as Instant
 
-function use (...asked: ReadonlyArray<readonly [number, string, 'done' | 'refused']>): TeamUse {
-  const counted = TeamUse.create(at(0))
+function use (...asked: ReadonlyArray<readonly [number, string, 'done' | 'refused']>): TeamUsage {
+  const counted = TeamUsage.create(at(0))
   for (const [ms, team, ending] of asked) counted.add(team, ending, at(ms))
   return counted
 }
@@ -24,7 +24,7 @@
 it('one large team stays among ten thousand small ones, and nothing is lost', () => {
   // One team asks a twentieth of all, and the operator sees ten thousand others.
   // Each newcomer takes the place of the one with the fewest statements; the large team came late.
-  const counted = TeamUse.create(at(0))
+  const counted = TeamUsage.create(at(0))
   for (let i = 0; i < 10_000; i++) {
     counted.add(`t${i}`, 'done', at(0))
     if (i > 500 && i % 20 === 0) counted.add('hot', 'refused', at(0))
--- a/src/core/pool/load/teamuse.ts
+++ b/src/core/pool/load/teamusage.ts
@@ -15,12 +15,12 @@
 }
 
 /** Teams that are told apart; a hundredth of a group's statements is enough to be among them. */
-const MOST = 100
+const MAX_TEAMS = 100
 /** What is told covers from one to two of these: young enough to show who it is now, and more than a few statements. */
-const HALF_MS = 5000
+const WINDOW_MS = 5000
 
 /** Changes in place: each statement adds to it. */
-export class TeamUse {
+export class TeamUsage {
   private now = new Map<string, Count>()
   private before = new Map<string, Count>()
   private rest: Count = { done: 0, refused: 0 }
@@ -28,50 +28,50 @@
 
   private constructor (private since: Instant) {}
 
-  static create (now: Instant): TeamUse {
-    return new TeamUse(now)
+  static create (now: Instant): TeamUsage {
+    return new TeamUsage(now)
   }
 
   add (team: string, ending: 'done' | 'refused', now: Instant): void {
-    this.turn(now)
-    const count = this.now.get(team) ?? this.enter(team)
+    this.rotate(now)
+    const count = this.now.get(team) ?? this.addTeam(team)
     count[ending]++
   }
 
   /** The largest teams by what they asked, the largest first, and all others as one. */
   largest (most: number, now: Instant): { readonly teams: readonly TeamCount[], readonly rest: Count } {
-    this.turn(now)
+    this.rotate(now)
     const sums = new Map<string, Count>([...this.before].map(([team, count]) => [team, { ...count }]))
     for (const [team, count] of this.now) sums.set(team, sum(count, sums.get(team)))
-    const ranked = [...sums].map(([team, count]) => ({ team, ...count })).sort((a, b) => asked(b) - asked(a))
+    const ranked = [...sums].map(([team, count]) => ({ team, ...count })).sort((a, b) => statementCount(b) - statementCount(a))
     const rest = ranked.slice(most).reduce(sum, sum(this.rest, this.restBefore))
     return { teams: ranked.slice(0, most), rest }
   }
 
-  private turn (now: Instant): void {
-    if (now - this.since < HALF_MS) return
-    const isOld = now - this.since >= 2 * HALF_MS
+  private rotate (now: Instant): void {
+    if (now - this.since < WINDOW_MS) return
+    const isOld = now - this.since >= 2 * WINDOW_MS
     this.before = isOld ? new Map() : this.now
-    this.restBefore = isOld ? NOTHING : this.rest
+    this.restBefore = isOld ? NO_COUNT : this.rest
     this.now = new Map()
-    this.rest = NOTHING
+    this.rest = NO_COUNT
     this.since = now
   }
 
-  private enter (team: string): Count {
-    if (this.now.size >= MOST) this.putOut()
+  private addTeam (team: string): Count {
+    if (this.now.size >= MAX_TEAMS) this.evictSmallest()
     const count = { done: 0, refused: 0 }
     this.now.set(team, count)
     return count
   }
 
-  private putOut (): void {
+  private evictSmallest (): void {
     let least: string | undefined
     let fewest = Infinity
     for (const [team, count] of this.now) {
-      if (asked(count) >= fewest) continue
+      if (statementCount(count) >= fewest) continue
       least = team
-      fewest = asked(count)
+      fewest = statementCount(count)
     }
     if (least === undefined) return
     this.rest = sum(this.rest, this.now.get(least))
@@ -79,12 +79,12 @@
   }
 }
 
-const NOTHING: Readonly<Count> = { done: 0, refused: 0 }
+const NO_COUNT: Readonly<Count> = { done: 0, refused: 0 }
 
-function sum (a: Readonly<Count>, b: Readonly<Count> = NOTHING): Count {
+function sum (a: Readonly<Count>, b: Readonly<Count> = NO_COUNT): Count {
   return { done: a.done + b.done, refused: a.refused + b.refused }
 }
 
-function asked ({ done, refused }: Readonly<Count>): number {
+function statementCount ({ done, refused }: Readonly<Count>): number {
   return done + refused
 }
--- a/src/core/pool/load/unheard.ts
+++ /dev/null
@@ -1,7 +0,0 @@
-/** What is known of the other owners of a group while none of them was heard. */
-
-import type { OthersLoad } from './othersload.ts'
-
-const NOBODY = { owners: 0, atWork: 0, waiting: 0, answerMs: undefined, failing: 0 } as const
-
-export const unheard: OthersLoad = { at: () => NOBODY }
--- a/src/core/pool/placing/fewowners.ts
+++ b/src/core/pool/placing/assignowners.ts
@@ -3,19 +3,19 @@
 import type { GroupId } from '../../id/group.ts'
 import { interleave } from '../../interleave.ts'
 import { weightOf } from '../../weight.ts'
-import { carrying } from './carrying.ts'
-import { drawn } from './drawn.ts'
+import { hostCapacity } from './hostcapacity.ts'
+import { rankHosts } from './rankhosts.ts'
 import type { PoolHost } from './host.ts'
-import { pickedPart } from './pickedpart.ts'
+import { connectionBudget } from './connectionbudget.ts'
 
-interface Sized {
+interface GroupSize {
   readonly id: GroupId
   /** Connections that one endpoint takes from all hosts. */
   readonly connections: number
   /** Statements that one endpoint works on at a time, */
   readonly places: number
   /** and all endpoints of the group together. */
-  readonly allPlaces: number
+  readonly totalPlaces: number
 }
 
 /**
@@ -24,9 +24,9 @@
  */
 const CONNECTIONS_PER_PLACE = 2
 /** With one connection each, a transaction at one owner would keep its other sessions waiting while another owner's connection is unused. */
-const LEAST_PER_OWNER = 2
+const MIN_CONNECTIONS_PER_OWNER = 2
 /** A host owns at most so many times the groups that its part of all capacity would be: with less there are too few hosts to draw from, and groups move more often. */
-const MOST_OF_PART = 2
+const MAX_GROUPS_FACTOR = 2
 
 /**
  * Guard against queues that stand apart: with many owners of few connections each, statements wait at one owner while places that another one's
@@ -38,15 +38,15 @@
  * differ, and by those that were passed over for them: a host that takes itself for an owner then opens connections from the half that is left free, and sessions
  * that are passed on to a host that doesn't are served there all the same, on its one connection.
  */
-export function fewOwners (groups: readonly Sized[], hosts: readonly PoolHost[]): ReadonlyMap<GroupId, readonly PoolHost[]> {
-  const mostGroups = boundsOf(groups, hosts)
+export function assignOwners (groups: readonly GroupSize[], hosts: readonly PoolHost[]): ReadonlyMap<GroupId, readonly PoolHost[]> {
+  const mostGroups = maxGroupsByHost(groups, hosts)
   const owned = new Map<PoolHost, number>()
   const picked = new Map<GroupId, readonly PoolHost[]>()
   for (const group of [...groups].sort((a, b) => a.id < b.id ? -1 : 1)) {
     const isOpen = (host: PoolHost) => (owned.get(host) ?? 0) < mostGroups.get(host)!
     // Those that have their groups stand behind: without enough others, a host with too many groups goes before a group without owners.
-    const order = [...inOrder(group.id, hosts.filter(isOpen)), ...inOrder(group.id, hosts.filter(host => !isOpen(host)))]
-    const owners = pick(group, leastOf(group, hosts), order, host => carrying.capacityOf(host) / mostGroups.get(host)!)
+    const order = [...rankAcrossDataCentres(group.id, hosts.filter(isOpen)), ...rankAcrossDataCentres(group.id, hosts.filter(host => !isOpen(host)))]
+    const owners = pickOwners(group, minOwners(group, hosts), order, host => hostCapacity.coresOf(host) / mostGroups.get(host)!)
     for (const owner of owners) owned.set(owner, (owned.get(owner) ?? 0) + 1)
     picked.set(group.id, owners)
   }
@@ -54,33 +54,33 @@
 }
 
 /** How many groups each host may own. */
-function boundsOf (groups: readonly Sized[], hosts: readonly PoolHost[]): ReadonlyMap<PoolHost, number> {
-  const total = hosts.reduce((sum, host) => sum + carrying.capacityOf(host), 0)
+function maxGroupsByHost (groups: readonly GroupSize[], hosts: readonly PoolHost[]): ReadonlyMap<PoolHost, number> {
+  const total = hosts.reduce((sum, host) => sum + hostCapacity.coresOf(host), 0)
   const usual = total / Math.max(1, hosts.length)
-  const owners = groups.reduce((sum, group) => sum + Math.max(leastOf(group, hosts), Math.min(mostOf(group), Math.ceil(carrying.coresFor(group.allPlaces) / usual))), 0)
-  return new Map(hosts.map(host => [host, Math.max(1, Math.ceil(MOST_OF_PART * owners * carrying.capacityOf(host) / total))]))
+  const owners = groups.reduce((sum, group) => sum + Math.max(minOwners(group, hosts), Math.min(maxOwners(group), Math.ceil(hostCapacity.coresForPlaces(group.totalPlaces) / usual))), 0)
+  return new Map(hosts.map(host => [host, Math.max(1, Math.ceil(MAX_GROUPS_FACTOR * owners * hostCapacity.coresOf(host) / total))]))
 }
 
 /** One in each data centre, where the connections are enough. */
-function leastOf ({ connections }: Sized, hosts: readonly PoolHost[]): number {
+function minOwners ({ connections }: GroupSize, hosts: readonly PoolHost[]): number {
   const centres = new Set(hosts.map(({ dataCentre }) => dataCentre)).size
-  return Math.max(1, Math.min(centres, Math.floor(pickedPart(connections) / LEAST_PER_OWNER)))
+  return Math.max(1, Math.min(centres, Math.floor(connectionBudget(connections) / MIN_CONNECTIONS_PER_OWNER)))
 }
 
-function mostOf ({ connections, places }: Sized): number {
-  return Math.floor(pickedPart(connections) / (CONNECTIONS_PER_PLACE * places))
+function maxOwners ({ connections, places }: GroupSize): number {
+  return Math.floor(connectionBudget(connections) / (CONNECTIONS_PER_PLACE * places))
 }
 
 /** The data centres in turn, beginning with another one from group to group. */
-function inOrder (group: GroupId, hosts: readonly PoolHost[]): readonly PoolHost[] {
-  const order = drawn(group, hosts)
+function rankAcrossDataCentres (group: GroupId, hosts: readonly PoolHost[]): readonly PoolHost[] {
+  const order = rankHosts(group, hosts)
   const centres = [...new Set(hosts.map(({ dataCentre }) => dataCentre))].sort((a, b) => weightOf(`${group}/${b}`) - weightOf(`${group}/${a}`))
   return interleave(centres.map(centre => order.filter(({ dataCentre }) => dataCentre === centre)))
 }
 
-function pick (group: Sized, least: number, order: readonly PoolHost[], coresOf: (host: PoolHost) => number): readonly PoolHost[] {
-  const most = Math.max(least, mostOf(group))
-  const needed = carrying.coresFor(group.allPlaces)
+function pickOwners (group: GroupSize, least: number, order: readonly PoolHost[], coresOf: (host: PoolHost) => number): readonly PoolHost[] {
+  const most = Math.max(least, maxOwners(group))
+  const needed = hostCapacity.coresForPlaces(group.totalPlaces)
   const owners: PoolHost[] = []
   let cores = 0
   for (const host of order) {
--- a/src/core/pool/placing/thrift.ts
+++ b/src/core/pool/placing/connectionscarcity.ts
@@ -6,9 +6,9 @@
  * An endpoint counts the connections of a host that lost its power for about
  * three seconds more; so long, and a little longer, what is left must do for all.
  */
-const SCARCE_MS = 4000
+const SCARCITY_MS = 4000
 /** An unused connection is given up after so long while others lack one: about the time that opening one takes there. */
-const REST_MS = 30
+const IDLE_TIMEOUT_MS = 30
 
 /**
  * Guard against hosts that hold unused connections while others have none:
@@ -19,24 +19,24 @@
  * started, or was refused itself, may expect it, and so gives back what it doesn't use.
  * Immutable.
  */
-export class Thrift {
+export class ConnectionScarcity {
   private constructor (private readonly until: Instant) {}
 
   /** None is expected to be scarce until one is refused. */
-  static readonly none = new Thrift(-Infinity as Instant)
+  static readonly none = new ConnectionScarcity(-Infinity as Instant)
 
   /** A process that starts may follow a power loss of all hosts, its own host's earlier life among them. */
-  static started (now: Instant): Thrift {
-    return new Thrift(now + SCARCE_MS as Instant)
+  static started (now: Instant): ConnectionScarcity {
+    return new ConnectionScarcity(now + SCARCITY_MS as Instant)
   }
 
   /** The endpoint took no more connections. */
-  refused (now: Instant): Thrift {
-    return new Thrift(now + SCARCE_MS as Instant)
+  refused (now: Instant): ConnectionScarcity {
+    return new ConnectionScarcity(now + SCARCITY_MS as Instant)
   }
 
   /** How long an unused connection is kept, in milliseconds; undefined for as long as it lasts. */
-  restMs (now: Instant): number | undefined {
-    return now < this.until ? REST_MS : undefined
+  idleTimeoutMs (now: Instant): number | undefined {
+    return now < this.until ? IDLE_TIMEOUT_MS : undefined
   }
 }
--- a/src/core/pool/placing/groupplaces.ts
+++ b/src/core/pool/placing/groupplaces.ts
@@ -11,9 +11,9 @@
 export class GroupPlaces {
   private constructor (
     /** Of one endpoint; 0 while none told. */
-    readonly each: number,
+    readonly perEndpoint: number,
     /** Of all that don't leave. */
-    readonly all: number
+    readonly total: number
   ) {}
 
   static readonly none = new GroupPlaces(0, 0)
@@ -21,8 +21,8 @@
   /** The same value when nothing more is seen. */
   with (endpoints: readonly Endpoint[]): GroupPlaces {
     const told = endpoints.filter(({ isLeaving }) => !isLeaving).map(({ places = 0 }) => places)
-    const each = Math.max(this.each, ...told)
-    const all = Math.max(this.all, told.reduce((sum, places) => sum + places, 0))
-    return each === this.each && all === this.all ? this : new GroupPlaces(each, all)
+    const each = Math.max(this.perEndpoint, ...told)
+    const all = Math.max(this.total, told.reduce((sum, places) => sum + places, 0))
+    return each === this.perEndpoint && all === this.total ? this : new GroupPlaces(each, all)
   }
 }
--- a/src/core/pool/placing/ownership.test.ts
+++ b/src/core/pool/placing/ownership.test.ts
@@ -21,21 +21,21 @@
   it.each([[7, 16, 7, 2], [7, 30, 7, 4], [8, 16, 8, 1], [9, 16, 4, 2], [14, 16, 4, 2], [64, 22, 5, 2], [88, 40, 10, 2], [66, 98, 24, 2], [49, 98, 49, 1], [3, 1, 1, 1], [1, 16, 1, 14]])('%d hosts, %d connections: %d owners with %d each', (count, connections, expected, share) => {
     const made = owners(count, connections)
     expect(made.owners.length).toBe(expected)
-    expect(made.share).toBe(share)
+    expect(made.connectionsPerOwner).toBe(share)
     expect(expected * share).toBeLessThanOrEqual(Math.max(1, connections))
   })
 
   // All hosts lose their power and come back within a second; for ten seconds more hardly anything is served.
   // Endpoints count the dead connections for three seconds; the owners' new ones are turned away and tried again, and each try takes the endpoint's time.
   it.each([[9, 16], [88, 40], [64, 22], [66, 98], [195, 58]])('%d hosts, %d connections: picked owners have room beside as many dead', (count, connections) => {
-    const { owners: picked, share, hasRoom } = owners(count, connections)
+    const { owners: picked, connectionsPerOwner: share, hasSpareConnections: hasRoom } = owners(count, connections)
     expect(hasRoom).toBe(true)
     expect(2 * picked.length * share).toBeLessThanOrEqual(connections)
   })
 
   // Writes are refused for a second longer than needed after a primary's crash: hosts act in turn, and only owners know that it's dead.
   it.each([[7, 16], [64, 22], [195, 58]])('%d hosts, %d connections: act before all others', (count, connections) => {
-    const { owners: picked, turns } = owners(count, connections)
+    const { owners: picked, failoverOrder: turns } = owners(count, connections)
     expect(new Set(turns.slice(0, picked.length))).toEqual(new Set(picked.map(({ id }) => id)))
     expect([turns.length, new Set(turns).size]).toEqual([count, count])
   })
@@ -58,18 +58,18 @@
   it('passes on to its own data centre first, and others to other owners', () => {
     const made = owners(64, 40)
     const others = hosts(64).filter(({ id }) => !made.isOwner(id))
-    expect(others.every(host => made.placesFor(host)[0]!.dataCentre === host.dataCentre)).toBe(true)
-    expect(new Set(others.map(host => made.placesFor(host)[0]!.id)).size).toBeGreaterThan(5)
+    expect(others.every(host => made.forwardingTargets(host)[0]!.dataCentre === host.dataCentre)).toBe(true)
+    expect(new Set(others.map(host => made.forwardingTargets(host)[0]!.id)).size).toBeGreaterThan(5)
   })
 
-  it('is none where everybody owns the group', () => expect(hosts(7).flatMap(host => owners(7, 16).placesFor(host))).toEqual([]))
+  it('is none where everybody owns the group', () => expect(hosts(7).flatMap(host => owners(7, 16).forwardingTargets(host))).toEqual([]))
 })
 
 describe('a team\'s sessions', () => {
   const made = Ownership.of('g' as GroupId, hosts(84), 64, true)
   const part = (i: number, share: number) => ({ id: `t${i}` as TeamId, share })
   /** The owner that a host of the data centre uses, this host itself or the first of its places. */
-  const ownersOf = (team: ReturnType<typeof part>) => new Set(hosts(84).map(host => made.placesFor(host, team)[0]?.id ?? host.id))
+  const ownersOf = (team: ReturnType<typeof part>) => new Set(hosts(84).map(host => made.forwardingTargets(host, team)[0]?.id ?? host.id))
 
   it('of a small team meet at one owner in each data centre', () => {
     for (let i = 0; i < 20; i++) expect(ownersOf(part(i, 0.01)).size).toBe(3)
@@ -84,11 +84,11 @@
 
   it('have other owners behind the first, and never the host itself', () => {
     for (const host of hosts(84)) {
-      const places = made.placesFor(host, part(3, 0.01))
+      const places = made.forwardingTargets(host, part(3, 0.01))
       expect(places.some(({ id }) => id === host.id)).toBe(false)
       expect(places.length === 0 || places.length >= made.owners.length - 1).toBe(true)
     }
   })
 
-  it('stay where everybody owns the group', () => expect(hosts(7).flatMap(host => owners(7, 64).placesFor(host, part(1, 0.1)))).toEqual([]))
+  it('stay where everybody owns the group', () => expect(hosts(7).flatMap(host => owners(7, 64).forwardingTargets(host, part(1, 0.1)))).toEqual([]))
 })
--- a/src/core/pool/placing/ownerships.test.ts
+++ b/src/core/pool/placing/ownerships.test.ts
@@ -6,7 +6,7 @@
 import type { HostId } from '../../id/host.ts'
 import type { TeamId } from '../../id/team.ts'
 import type { PoolHost } from './host.ts'
-import { oneOwner } from './oneowner.ts'
+import { singleOwnerAffinity } from './singleowneraffinity.ts'
 import { Ownership } from './ownership.ts'
 import { Ownerships } from './ownerships.ts'
 
@@ -21,11 +21,11 @@
 const ids = Array.from({ length: 6 }, (_, i) => `g${i}` as GroupId)
 
 function groups (connections: number, places: number) {
-  return ids.map(id => ({ id, connections, places: { each: places, all: 3 * places } }))
+  return ids.map(id => ({ id, connections, places: { perEndpoint: places, total: 3 * places } }))
 }
 
 function ownersOf (all: readonly PoolHost[], connections = 63, places = 5): string[] {
-  const made = Ownerships.of(groups(connections, places), all, true, oneOwner)
+  const made = Ownerships.of(groups(connections, places), all, true, singleOwnerAffinity)
   return ids.flatMap(id => made.get(id)!.owners.map(owner => `${id}/${owner.id}`))
 }
 
@@ -39,8 +39,8 @@
     ['no more than keep enough connections', 82, 63, 5, 0.01, 3, 10],
     ['fewer than data centres where connections lack', 20, 8, 2, WEAK, 2, 2]
   ])('%s', (_, count, connections, places, capacity, owners, share) => {
-    const made = Ownerships.of(groups(connections, places), hosts(count, 0, capacity), true, oneOwner).get(ids[0]!)!
-    expect([made.owners.length, made.share, made.hasRoom]).toEqual([owners, share, true])
+    const made = Ownerships.of(groups(connections, places), hosts(count, 0, capacity), true, singleOwnerAffinity).get(ids[0]!)!
+    expect([made.owners.length, made.connectionsPerOwner, made.hasSpareConnections]).toEqual([owners, share, true])
     expect(2 * owners * share).toBeLessThanOrEqual(connections)
     expect(new Set(made.owners.map(({ dataCentre }) => dataCentre)).size).toBe(Math.min(3, owners))
   })
@@ -51,8 +51,8 @@
     ['everybody owns the group', hosts(7), 5]
   ])('are picked as ever where %s', (_, all, places) => {
     const plain = Ownership.of(ids[0]!, all, 63, true)
-    const made = Ownerships.of(groups(63, places), all, true, oneOwner).get(ids[0]!)!
-    expect([made.owners, made.share, made.hasRoom, made.turns]).toEqual([plain.owners, plain.share, plain.hasRoom, plain.turns])
+    const made = Ownerships.of(groups(63, places), all, true, singleOwnerAffinity).get(ids[0]!)!
+    expect([made.owners, made.connectionsPerOwner, made.hasSpareConnections, made.failoverOrder]).toEqual([plain.owners, plain.connectionsPerOwner, plain.hasSpareConnections, plain.failoverOrder])
   })
 
   it('are strong first, but none owns far more groups than its part of the capacity', () => {
@@ -86,11 +86,11 @@
   it('when one is killed, its groups have the next owners alike at every host, and those that stay can fill all places', () => {
     const all = hosts(82, 6)
     const left = all.slice(1)
-    const made = Ownerships.of(groups(63, 5), left, true, oneOwner)
+    const made = Ownerships.of(groups(63, 5), left, true, singleOwnerAffinity)
     for (const id of ids) {
       expect(made.get(id)!.owners.length).toBe(3)
-      expect(made.get(id)!.share).toBeGreaterThanOrEqual(2 * 5)
-      expect(new Set(left.map(host => made.get(id)!.placesFor(host, { id: 't' as TeamId, share: 0.01 })[0]?.id ?? host.id)).size).toBe(1)
+      expect(made.get(id)!.connectionsPerOwner).toBeGreaterThanOrEqual(2 * 5)
+      expect(new Set(left.map(host => made.get(id)!.forwardingTargets(host, { id: 't' as TeamId, share: 0.01 })[0]?.id ?? host.id)).size).toBe(1)
     }
   })
 
@@ -98,26 +98,26 @@
   // The list is cut in two halves that see one another no more; each half picks from its own.
   it('of two halves of the hosts that don\'t see each other have room for their connections', () => {
     const all = hosts(82, 6)
-    const halves = [all.filter((_, i) => i % 2 === 0), all.filter((_, i) => i % 2 === 1)].map(half => Ownerships.of(groups(63, 5), half, true, oneOwner).get(ids[0]!)!)
-    expect(halves.reduce((sum, { owners, share }) => sum + owners.length * share, 0)).toBeLessThanOrEqual(63)
+    const halves = [all.filter((_, i) => i % 2 === 0), all.filter((_, i) => i % 2 === 1)].map(half => Ownerships.of(groups(63, 5), half, true, singleOwnerAffinity).get(ids[0]!)!)
+    expect(halves.reduce((sum, { owners, connectionsPerOwner: share }) => sum + owners.length * share, 0)).toBeLessThanOrEqual(63)
   })
 })
 
 describe('sessions of a team', () => {
   const all = hosts(82, 6)
-  const made = Ownerships.of(groups(63, 5), all, true, oneOwner).get(ids[0]!)!
-  const metBy = (share: number) => new Set(all.map(host => made.placesFor(host, { id: 't1' as TeamId, share })[0]?.id ?? host.id))
+  const made = Ownerships.of(groups(63, 5), all, true, singleOwnerAffinity).get(ids[0]!)!
+  const metBy = (share: number) => new Set(all.map(host => made.forwardingTargets(host, { id: 't1' as TeamId, share })[0]?.id ?? host.id))
 
   it.each([[0.01, 1], [0.16, 1], [0.2, 3], [0.6, 3]])('with a part of %d meet at %d owners', (share, owners) => expect(metBy(share).size).toBe(owners))
 
   it('of a large team stay in their data centre', () => {
-    for (const host of all) expect(made.placesFor(host, { id: 't1' as TeamId, share: 0.5 })[0]?.dataCentre ?? host.dataCentre).toBe(host.dataCentre)
+    for (const host of all) expect(made.forwardingTargets(host, { id: 't1' as TeamId, share: 0.5 })[0]?.dataCentre ?? host.dataCentre).toBe(host.dataCentre)
   })
 
   it('of many teams are spread over all owners', () => {
     const counts = new Map<string, number>()
     for (let i = 0; i < 90; i++) {
-      const [owner] = made.placesFor(all[81]!, { id: `t${i}` as TeamId, share: 0.01 })
+      const [owner] = made.forwardingTargets(all[81]!, { id: `t${i}` as TeamId, share: 0.01 })
       counts.set(owner!.id, (counts.get(owner!.id) ?? 0) + 1)
     }
     expect(Math.min(...counts.values())).toBeGreaterThan(15)
--- a/src/core/pool/placing/reach.test.ts
+++ b/src/core/pool/placing/reachinghosts.test.ts
@@ -4,14 +4,14 @@
 import type { EndpointId } from '../../id/endpoint.ts'
 import type { Instant } from '../../id/instant.ts'
 import type { PoolHost } from './host.ts'
-import { Reach } from './reach.ts'
+import { ReachingHosts } from './reachinghosts.ts'
 
 /** Objections such as `h1@0 h2@900`, all about the endpoint `a`; who reaches it at the time. */
 function reached (now: number, objections: string, endpoint = 'a'): string {
   const reach = objections.split(' ').reduce((sum, text) => {
     const [id, at] = text.split('@')
     return sum.with('a' as EndpointId, { id } as PoolHost, Number(at) as Instant)
-  }, Reach.none)
+  }, ReachingHosts.none)
   return reach.hosts(endpoint as EndpointId, now as Instant).map(({ id }) => id).join(' ')
 }
 
--- a/src/core/pool/placing/teammeeting.test.ts
+++ b/src/core/pool/placing/teamaffinity.test.ts
@@ -6,17 +6,17 @@
 import type { HostId } from '../../id/host.ts'
 import type { TeamId } from '../../id/team.ts'
 import { mix } from '../../mix.ts'
-import { eachCentre } from './eachcentre.ts'
+import { dataCentreAffinity } from './datacentreaffinity.ts'
 import type { PoolHost } from './host.ts'
-import { oneOwner } from './oneowner.ts'
+import { singleOwnerAffinity } from './singleowneraffinity.ts'
 import { Ownership } from './ownership.ts'
-import type { TeamMeeting } from './teammeeting.ts'
+import type { TeamAffinity } from './teamaffinity.ts'
 
 const TEAMS = 80
 const HOSTS = 84
 const WORK_MS = 20
 const hosts: PoolHost[] = Array.from({ length: HOSTS }, (_, i) => ({ id: `h${i}` as HostId, dataCentre: `z${i % 3}` as DataCentreId, address: { ip: '10.0.0.1', port: 1 }, linkPort: 1 }))
-const few = (meeting: TeamMeeting) => Ownership.picked('g' as GroupId, hosts, 63, hosts.slice(0, 3), meeting)
+const few = (meeting: TeamAffinity) => Ownership.withOwners('g' as GroupId, hosts, 63, hosts.slice(0, 3), meeting)
 
 interface Connection {
   readonly team: number
@@ -37,14 +37,14 @@
     let team = 0
     for (let drawn = chance() * all - share(0); drawn > 0 && team < TEAMS - 1; drawn -= share(++team));
     const host = hosts[Math.floor(chance() * HOSTS)]!
-    const owner = ownership.placesFor(host, { id: `t${team}` as TeamId, share: share(team) / all })[0]?.id ?? host.id
+    const owner = ownership.forwardingTargets(host, { id: `t${team}` as TeamId, share: share(team) / all })[0]?.id ?? host.id
     const links = open.get(owner) ?? []
     const idle = links.filter(({ until }) => until <= now).sort((a, b) => a.until - b.until)
     const own = idle.find(link => link.team === team)
     if (own !== undefined) own.until = now + WORK_MS
-    if (own !== undefined || (idle.length === 0 && links.length >= ownership.share)) continue
+    if (own !== undefined || (idle.length === 0 && links.length >= ownership.connectionsPerOwner)) continue
     opened++
-    const left = links.length < ownership.share ? links : links.filter(link => link !== idle[0])
+    const left = links.length < ownership.connectionsPerOwner ? links : links.filter(link => link !== idle[0])
     open.set(owner, [...left, { team, until: now + WORK_MS }])
   }
   return opened / count
@@ -52,7 +52,7 @@
 
 describe('connections that are opened for teams', () => {
   it.each([20, 60, 120])('are fewer where each small team meets at one owner: %d statements a second', perSecond => {
-    const [many, centre, one] = [Ownership.of('g' as GroupId, hosts, 63, true), few(eachCentre), few(oneOwner)].map(ownership => openedFor(ownership, perSecond))
+    const [many, centre, one] = [Ownership.of('g' as GroupId, hosts, 63, true), few(dataCentreAffinity), few(singleOwnerAffinity)].map(ownership => openedFor(ownership, perSecond))
     expect(one!).toBeLessThan(0.7 * centre!)
     expect(one!).toBeLessThan(0.7 * many!)
   })
--- a/src/core/pool/reads/ageclock.ts
+++ b/src/core/pool/reads/ageclock.ts
@@ -9,7 +9,7 @@
  */
 const TOLERANCE_MS = 20
 /** A leap past every age that anybody asks for. */
-const LEAP_MS = 86_400_000
+const JUMP_MS = 86_400_000
 
 /**
  * Guard against a host that was suspended and wakes: the monotonic clock
@@ -22,8 +22,8 @@
  * one sample. Changes in place.
  */
 export class AgeClock {
-  private apart: number | undefined
-  private leaps = 0
+  private offsetMs: number | undefined
+  private jumps = 0
 
   private constructor () {}
 
@@ -36,8 +36,8 @@
 
   at (monotonic: number, timeOfDay: number): Instant {
     const apart = timeOfDay - monotonic
-    if (this.apart !== undefined && Math.abs(apart - this.apart) > TOLERANCE_MS) this.leaps++
-    this.apart = apart
-    return monotonic + this.leaps * LEAP_MS as Instant
+    if (this.offsetMs !== undefined && Math.abs(apart - this.offsetMs) > TOLERANCE_MS) this.jumps++
+    this.offsetMs = apart
+    return monotonic + this.jumps * JUMP_MS as Instant
   }
 }
--- a/src/core/pool/reads/candidates.test.ts
+++ b/src/core/pool/reads/candidates.test.ts
@@ -7,7 +7,7 @@
 import type { Instant } from '../../id/instant.ts'
 import { Token } from '../../token.ts'
 import { readCandidates } from './candidates.ts'
-import { Standing } from './standing.ts'
+import { LogState } from './logstate.ts'
 
 const NOW = 1000 as Instant
 
@@ -21,9 +21,9 @@
     })),
     primary: primary as EndpointId,
     dataCentre: '1' as DataCentreId,
-    standing: id => has(id, '~') ? Standing.unknown.fellShort(NOW) : Standing.unknown,
+    standing: id => has(id, '~') ? LogState.unknown.withRefusal(NOW) : LogState.unknown,
     queued: id => has(id, 'q') ? 3 : 0,
-    mustOpen: id => has(id, 'o'),
+    needsNewConnection: id => has(id, 'o'),
     isReachable: id => !has(id, 'x')
   }, Token.of(1, 5), NOW).join('')
 }
--- a/src/core/pool/reads/progress.test.ts
+++ b/src/core/pool/reads/logprogress.test.ts
@@ -3,18 +3,18 @@
 import { describe, expect, it } from 'vitest'
 import type { Instant } from '../../id/instant.ts'
 import { Token } from '../../token.ts'
-import { Progress } from './progress.ts'
+import { LogProgress } from './logprogress.ts'
 
 /** Marks as `term:position@instant`. */
-function progress (...marks: string[]): Progress {
+function progress (...marks: string[]): LogProgress {
   return marks.reduce((sum, text) => {
     const [token, at] = text.split('@') as [string, string]
     return sum.with(Token.parse(token)!, Number(at) as Instant)
-  }, Progress.empty)
+  }, LogProgress.empty)
 }
 
 function required (marks: string[], own: string, ageMs: number, now: number): string | undefined {
-  return progress(...marks).required(Token.parse(own)!, ageMs, now as Instant)?.toString()
+  return progress(...marks).requiredPosition(Token.parse(own)!, ageMs, now as Instant)?.toString()
 }
 
 describe('the required position', () => {
--- a/src/core/pool/reads/progress.ts
+++ b/src/core/pool/reads/logprogress.ts
@@ -14,16 +14,16 @@
  * have cut that log back, and a position that no log holds any more would be
  * waited for in vain.
  */
-export class Progress {
+export class LogProgress {
   private constructor (private readonly marks: Watermarks, private readonly newest: Token) {}
 
-  static readonly empty = new Progress(Watermarks.empty, Token.zero)
+  static readonly empty = new LogProgress(Watermarks.empty, Token.zero)
 
   /** Takes in a position that an endpoint answered, while it led, to something sent at the instant. */
-  with (position: Token, sentAt: Instant): Progress {
+  with (position: Token, sentAt: Instant): LogProgress {
     if (position.term < this.newest.term) return this
     const marks = position.term > this.newest.term ? Watermarks.empty : this.marks
-    return new Progress(marks.with(position, sentAt), position.max(this.newest))
+    return new LogProgress(marks.with(position, sentAt), position.max(this.newest))
   }
 
   /** How long ago the newest mark was asked for, in milliseconds; undefined without one. */
@@ -46,10 +46,10 @@
    * How far a replica is behind whose log ends at the position now, in milliseconds: at least so much, since it lacks what the primary had then, and at
    * most so much, since it has what the primary hadn't yet; undefined when no such instant is known.
    */
-  lagAt (position: Token, now: Instant): { readonly leastMs: number, readonly mostMs: number | undefined } {
+  lagBounds (position: Token, now: Instant): { readonly minMs: number, readonly maxMs: number | undefined } {
     const lacksSince = this.marks.passedAt(position)
     const hasSince = this.marks.belowAt(position)
-    return { leastMs: lacksSince === undefined ? 0 : now - lacksSince, mostMs: hasSince === undefined ? undefined : now - hasSince }
+    return { minMs: lacksSince === undefined ? 0 : now - lacksSince, maxMs: hasSince === undefined ? undefined : now - hasSince }
   }
 
   /**
@@ -59,7 +59,7 @@
    * commit of an earlier term is covered by any mark of the newer one, or was
    * cut off by the promotion and will never be found.
    */
-  required (own: Token, ageMs: number, now: Instant): Token | undefined {
+  requiredPosition (own: Token, ageMs: number, now: Instant): Token | undefined {
     const bound = this.marks.boundSince(now - ageMs + AgeClock.toleranceMs as Instant)
     if (bound === undefined) return undefined
     return own.term < bound.term ? bound : bound.max(own)
--- a/src/core/pool/reads/sharedreads.test.ts
+++ b/src/core/pool/reads/readbalancer.test.ts
@@ -8,8 +8,8 @@
 import type { Instant } from '../../id/instant.ts'
 import { Token } from '../../token.ts'
 import type { OthersLoad } from '../load/othersload.ts'
-import { Progress } from './progress.ts'
-import { SharedReads } from './sharedreads.ts'
+import { LogProgress } from './logprogress.ts'
+import { ReadBalancer } from './readbalancer.ts'
 
 type Health = 'well' | 'grey' | 'slow' | 'leaving'
 type Change = readonly [at: number, endpoint: 'a' | 'b' | 'c', health: Health, forOwners?: number]
@@ -22,19 +22,19 @@
 function play (changes: readonly Change[], endMs: number, links: (a: number, b: number) => boolean = () => true, reads: Read[] = []): readonly Read[] {
   const generator = xoroshiro128plus(7)
   const chance = () => (generator.next() >>> 0) / 0x100000000
-  const owners = Array.from({ length: OWNERS }, () => SharedReads.create())
+  const owners = Array.from({ length: OWNERS }, () => ReadBalancer.create())
   const answering: Array<{ readonly at: number, readonly answer: () => void }> = []
   const healthOf = (id: string, owner: number, now: number) => changes.findLast(([at, which, , forOwners = OWNERS]) => at <= now && which === id && owner < forOwners)?.[2] ?? 'well'
   for (let now = 0; now < endMs; now++) {
     answering.filter(({ at }) => at === now).forEach(({ answer }) => answer())
-    if (now % REPORT_MS === 0) owners.forEach((owner, i) => owner.takeOthers(reportOf(owners.filter((_, j) => j !== i && links(i, j)), now as Instant)))
+    if (now % REPORT_MS === 0) owners.forEach((owner, i) => owner.setOthersLoad(reportOf(owners.filter((_, j) => j !== i && links(i, j)), now as Instant)))
     if (now % EACH_MS !== 0) continue
     const owner = now / EACH_MS % OWNERS
     const endpoints = IDS.map(id => ({
       id: id as string as EndpointId, group: 'g' as GroupId, address: { ip: '10.0.0.1', port: 1 }, dataCentre: 'z' as DataCentreId, isLeaving: healthOf(id, owner, now) === 'leaving', isPrimary: id === 'a', places: 5
     }))
-    const view = { endpoints, primary: 'a' as EndpointId, dataCentre: 'z' as DataCentreId, progress: Progress.empty, leftMs: 1000, queued: () => 0, mustOpen: () => false, isReachable: () => true, mayHold: () => true }
-    owners[owner]!.look(view, now as Instant)
+    const view = { endpoints, primary: 'a' as EndpointId, dataCentre: 'z' as DataCentreId, progress: LogProgress.empty, leftMs: 1000, queued: () => 0, needsNewConnection: () => false, isReachable: () => true, mayContain: () => true }
+    owners[owner]!.evaluateHealth(view, now as Instant)
     const { endpoint } = owners[owner]!.place(view, Token.zero, new Set(), { now: now as Instant, age: now as Instant }, chance)!
     const health = healthOf(endpoint, owner, now)
     const isDone = health !== 'grey' || chance() >= FAILS
@@ -47,9 +47,9 @@
 }
 
 /** As the owners of the group would report it. */
-function reportOf (others: readonly SharedReads[], now: Instant): OthersLoad {
+function reportOf (others: readonly ReadBalancer[], now: Instant): OthersLoad {
   const reports = new Map(IDS.map(id => {
-    const seen = others.map(({ health }) => ({ atWork: health.atWork(id as string as EndpointId), ms: health.answers(id as string as EndpointId).answerMs(now), failing: health.answers(id as string as EndpointId).failing(now) }))
+    const seen = others.map(({ health }) => ({ atWork: health.atWork(id as string as EndpointId), ms: health.responses(id as string as EndpointId).answerMs(now), failing: health.responses(id as string as EndpointId).failing(now) }))
     const times = seen.flatMap(({ ms }) => ms ?? [])
     const mean = (values: readonly number[]) => values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length)
     const atWork = seen.reduce((sum, one) => sum + one.atWork, 0)
@@ -104,9 +104,9 @@
 
   it('one that starts anew under its id begins with its full part', () => {
     // What was known of the old process would keep reads from a new one that never failed.
-    const it = SharedReads.create()
+    const it = ReadBalancer.create()
     const id = 'b' as EndpointId
-    const look = (now: number) => it.look({ endpoints: IDS.map(one => ({ id: one as string as EndpointId, isLeaving: false }) as never), primary: 'a' as EndpointId }, now as Instant)
+    const look = (now: number) => it.evaluateHealth({ endpoints: IDS.map(one => ({ id: one as string as EndpointId, isLeaving: false }) as never), primary: 'a' as EndpointId }, now as Instant)
     for (let now = 0; now < 1000; now += 10) {
       it.health.sent(id, 1, now as Instant)('failed', now as Instant)
       look(now)
--- a/src/core/pool/reads/sharedreads.ts
+++ b/src/core/pool/reads/readbalancer.ts
@@ -5,26 +5,26 @@
 import type { EndpointId } from '../../id/endpoint.ts'
 import type { Instant } from '../../id/instant.ts'
 import type { Token } from '../../token.ts'
-import { Health } from '../health/health.ts'
-import { unheard } from '../load/unheard.ts'
+import { GroupHealth } from '../health/grouphealth.ts'
+import { noReports } from '../load/noreports.ts'
 import type { OthersLoad } from '../load/othersload.ts'
-import { Lag } from './lag.ts'
-import type { Progress } from './progress.ts'
-import { soonest } from './soonest.ts'
+import { ReplicaLag } from './replicalag.ts'
+import type { LogProgress } from './logprogress.ts'
+import { rankEndpoints } from './rankendpoints.ts'
 
 interface View {
   readonly endpoints: readonly Endpoint[]
   readonly primary: EndpointId | undefined
   readonly dataCentre: DataCentreId
-  readonly progress: Progress
+  readonly progress: LogProgress
   /** Until the read's time is up. */
   readonly leftMs: number
   /** Operations of this owner that wait for a connection or a place there. */
   readonly queued: (id: EndpointId) => number
-  readonly mustOpen: (id: EndpointId) => boolean
+  readonly needsNewConnection: (id: EndpointId) => boolean
   readonly isReachable: (id: EndpointId) => boolean
   /** Whether it didn't refuse a read for want of a position just now. */
-  readonly mayHold: (id: EndpointId) => boolean
+  readonly mayContain: (id: EndpointId) => boolean
 }
 
 /** By the clock of deadlines, and by that of ages. */
@@ -33,62 +33,62 @@
   readonly age: Instant
 }
 
-interface Placed {
+interface ReadPlacement {
   readonly endpoint: EndpointId
   /** The read is to be held for so long, since the endpoint won't have what it needs before; milliseconds. */
   readonly waitMs: number
 }
 
 /** Changes in place: it's touched by every statement. */
-export class SharedReads {
-  readonly health = Health.create()
-  private readonly lags = new Map<EndpointId, Lag>()
-  private others = unheard
+export class ReadBalancer {
+  readonly health = GroupHealth.create()
+  private readonly lags = new Map<EndpointId, ReplicaLag>()
+  private othersLoad = noReports
 
-  private constructor (private readonly order: typeof soonest) {}
+  private constructor (private readonly order: typeof rankEndpoints) {}
 
-  static create (order: typeof soonest = soonest): SharedReads {
-    return new SharedReads(order)
+  static create (order: typeof rankEndpoints = rankEndpoints): ReadBalancer {
+    return new ReadBalancer(order)
   }
 
   /** Takes what the others have from now on. */
-  takeOthers (others: OthersLoad): void {
-    this.others = others
+  setOthersLoad (othersLoad: OthersLoad): void {
+    this.othersLoad = othersLoad
   }
 
   /** Whether it's known how much each endpoint works on at a time. */
-  static isPossible (endpoints: readonly Endpoint[]): boolean {
+  static isSupported (endpoints: readonly Endpoint[]): boolean {
     return endpoints.every(({ places }) => places !== undefined)
   }
 
   /** Where a read goes next whose log must hold the position; undefined when no endpoint is left. `tried`: those that didn't do it. */
-  place (view: View, position: Token, tried: ReadonlySet<EndpointId>, { now, age }: Times, chance: () => number): Placed | undefined {
+  place (view: View, position: Token, tried: ReadonlySet<EndpointId>, { now, age }: Times, chance: () => number): ReadPlacement | undefined {
     const candidates = this.candidates(view, position, { now, age })
     const endpoint = this.order(candidates, chance).find(id => !tried.has(id))
     if (endpoint === undefined) return undefined
-    const { isTryDue, waitMs } = candidates.find(({ id }) => id === endpoint)!
-    if (isTryDue) this.health.tried(endpoint, now)
-    this.lags.set(endpoint, this.lag(endpoint).asked(position, age))
+    const { isTrialDue: isTryDue, waitMs } = candidates.find(({ id }) => id === endpoint)!
+    if (isTryDue) this.health.recordTrial(endpoint, now)
+    this.lags.set(endpoint, this.lag(endpoint).withRead(position, age))
     return { endpoint, waitMs }
   }
 
   /** Judges the endpoints; yields those that were put aside and those that are back. */
-  look ({ endpoints, primary }: Pick<View, 'endpoints' | 'primary'>, now: Instant): ReturnType<Health['look']> {
+  evaluateHealth ({ endpoints, primary }: Pick<View, 'endpoints' | 'primary'>, now: Instant): ReturnType<GroupHealth['evaluate']> {
     const there = endpoints.filter(({ isLeaving }) => !isLeaving)
-    return this.health.look(there.map(({ id }) => ({ id, isPrimary: id === primary })), this.others, now)
+    return this.health.evaluate(there.map(({ id }) => ({ id, isPrimary: id === primary })), this.othersLoad, now)
   }
 
   /** Statements at the endpoint for each of its places, of all owners, with one that goes there now. */
-  crowd ({ id, places }: Endpoint, now: Instant): number {
-    return places === undefined ? 1 : (1 + this.health.atWork(id) + this.others.at(id, now).atWork) / places
+  statementsPerPlace ({ id, places }: Endpoint, now: Instant): number {
+    return places === undefined ? 1 : (1 + this.health.atWork(id) + this.othersLoad.at(id, now).atWork) / places
   }
 
-  answered (id: EndpointId, position: Token, progress: Progress, age: Instant): void {
-    this.lags.set(id, this.lag(id).answered(position, progress.lagAt(position, age), age))
+  answered (id: EndpointId, position: Token, progress: LogProgress, age: Instant): void {
+    this.lags.set(id, this.lag(id).answered(position, progress.lagBounds(position, age), age))
   }
 
-  fellShort (id: EndpointId, age: Instant): void {
-    this.lags.set(id, this.lag(id).fellShort(age))
+  recordRefusal (id: EndpointId, age: Instant): void {
+    this.lags.set(id, this.lag(id).withRefusal(age))
   }
 
   /** The endpoint is gone, or began anew under its id. */
@@ -102,28 +102,28 @@
     return endpoints.flatMap(endpoint => {
       const { id, places } = endpoint
       const isPrimary = id === primary
-      const mayServe = view.isReachable(id) && (isPrimary || (!endpoint.isLeaving && view.mayHold(id)))
+      const mayServe = view.isReachable(id) && (isPrimary || (!endpoint.isLeaving && view.mayContain(id)))
       const waitMs = isPrimary ? 0 : this.lag(id).waitMs(position, progress.reachedAt(position), age)
       if (!mayServe || waitMs === undefined || waitMs >= view.leftMs) return []
-      const they = this.others.at(id, now)
-      const answers = this.health.answers(id)
+      const they = this.othersLoad.at(id, now)
+      const answers = this.health.responses(id)
       return [{
         id,
         isPrimary,
-        isFar: endpoint.dataCentre !== dataCentre,
-        mustOpen: view.mustOpen(id),
+        isRemote: endpoint.dataCentre !== dataCentre,
+        needsNewConnection: view.needsNewConnection(id),
         places: places ?? 1,
         load: this.health.atWork(id) + view.queued(id) + they.atWork + they.waiting,
-        paceMs: answers.paceMs(now),
+        serviceTimeMs: answers.serviceTimeMs(now),
         failing: answers.failing(now),
         waitMs,
         part: this.health.part(id),
-        isTryDue: this.health.isTryDue(id, they.owners, now)
+        isTrialDue: this.health.isTrialDue(id, they.owners, now)
       }]
     })
   }
 
-  private lag (id: EndpointId): Lag {
-    return this.lags.get(id) ?? Lag.unknown
+  private lag (id: EndpointId): ReplicaLag {
+    return this.lags.get(id) ?? ReplicaLag.unknown
   }
 }
--- a/src/core/pool/reads/lag.test.ts
+++ b/src/core/pool/reads/replicalag.test.ts
@@ -3,42 +3,42 @@
 import { describe, expect, it } from 'vitest'
 import type { Instant } from '../../id/instant.ts'
 import { Token } from '../../token.ts'
-import { Lag } from './lag.ts'
-import { Progress } from './progress.ts'
+import { ReplicaLag } from './replicalag.ts'
+import { LogProgress } from './logprogress.ts'
 
 const at = (position: number) => Token.of(1, position)
 
 /** The primary writes position `n` at instant `10n`, and is asked each 10 ms; the replica answers a read each 10 ms while it's asked. */
-function primaryUntil (now: number): Progress {
-  return Array.from({ length: Math.floor(now / 10) }, (_, i) => i + 1).reduce((sum, n) => sum.with(at(n), n * 10 as Instant), Progress.empty)
+function primaryUntil (now: number): LogProgress {
+  return Array.from({ length: Math.floor(now / 10) }, (_, i) => i + 1).reduce((sum, n) => sum.with(at(n), n * 10 as Instant), LogProgress.empty)
 }
 
 /** What is known of a replica that answered at these instants, so far behind at each. */
-function replica (...answers: Array<readonly [now: number, lagMs: number]>): Lag {
+function replica (...answers: Array<readonly [now: number, lagMs: number]>): ReplicaLag {
   return answers.reduce((lag, [now, lagMs]) => {
     const position = at(Math.floor((now - lagMs) / 10))
-    return lag.answered(position, primaryUntil(now).lagAt(position, now as Instant), now as Instant)
-  }, Lag.unknown)
+    return lag.answered(position, primaryUntil(now).lagBounds(position, now as Instant), now as Instant)
+  }, ReplicaLag.unknown)
 }
 
-function wait (lag: Lag, position: number, now: number): number | undefined {
+function wait (lag: ReplicaLag, position: number, now: number): number | undefined {
   return lag.waitMs(at(position), primaryUntil(now).reachedAt(at(position)), now as Instant)
 }
 
 describe('until a replica holds a position', () => {
   const usual = replica([500, 90], [510, 90])
 
-  it.each<[string, Lag, number, number, number | undefined]>([
-    ['nothing is known', Lag.unknown, 50, 510, 0],
+  it.each<[string, ReplicaLag, number, number, number | undefined]>([
+    ['nothing is known', ReplicaLag.unknown, 50, 510, 0],
     ['it showed the position', usual, 42, 520, 0],
     ['what was written 100 ms ago', usual, 41, 520, 0],
     ['the session wrote just now', usual, 51, 520, 80],
-    ['it refused just now what it should hold', usual.fellShort(520 as Instant), 43, 530, undefined],
-    ['and is asked again soon', usual.fellShort(520 as Instant), 43, 620, 0],
+    ['it refused just now what it should hold', usual.withRefusal(520 as Instant), 43, 530, undefined],
+    ['and is asked again soon', usual.withRefusal(520 as Instant), 43, 620, 0],
     ['5 s behind, and heard just now', replica([5000, 90], [6000, 5000]), 300, 6050, undefined],
     ['5 s behind, and not heard for a while', replica([5000, 90], [6000, 5000]), 300, 6100, 0],
     ['not for what it wouldn\'t hold were it well', replica([5000, 90], [6000, 5000]), 605, 6100, undefined],
-    ['a read went there in spite of it', replica([5000, 90], [6000, 5000]).asked(at(300), 6100 as Instant), 300, 6150, undefined],
+    ['a read went there in spite of it', replica([5000, 90], [6000, 5000]).withRead(at(300), 6100 as Instant), 300, 6150, undefined],
     ['5 s behind since this host started', replica([6000, 5000]), 300, 6050, undefined],
     ['and not heard for a while', replica([6000, 5000]), 300, 6100, 0],
     ['it has caught up', replica([5000, 90], [6000, 5000], [6100, 90]), 601, 6110, 0],
@@ -59,8 +59,8 @@
       const held = now < 7000 ? 50 : Math.floor((now - 90) / 10)
       if (wait(lag, position, now) !== 0) continue
       asked.push(now)
-      lag = lag.asked(at(position), now as Instant).answered(at(held), primaryUntil(now).lagAt(at(held), now as Instant), now as Instant)
-      if (position > held) lag = lag.fellShort(now as Instant)
+      lag = lag.withRead(at(position), now as Instant).answered(at(held), primaryUntil(now).lagBounds(at(held), now as Instant), now as Instant)
+      if (position > held) lag = lag.withRefusal(now as Instant)
     }
     const inVain = asked.filter(now => now > 1500 && now < 7000)
     expect(inVain.length).toBeLessThanOrEqual(56)
--- a/src/shell/pool/group.ts
+++ b/src/shell/pool/group.ts
@@ -8,8 +8,8 @@
 import type { Instant } from '../../core/id/instant.ts'
 import { Directory as Endpoints } from '../../core/directory/directory.ts'
 import type { EndpointLoad } from '../../core/pool/load/endpointload.ts'
-import { GroupUse } from '../../core/pool/load/groupuse.ts'
-import type { LoadPicture } from '../../core/pool/load/picture.ts'
+import { GroupUsage } from '../../core/pool/load/groupusage.ts'
+import type { LoadSnapshot } from '../../core/pool/load/loadsnapshot.ts'
 import { Contact } from '../../core/pool/succession/contact.ts'
 import type { Handover } from '../../core/pool/succession/handover.ts'
 import { Leadership } from '../../core/pool/succession/leadership.ts'
@@ -18,10 +18,10 @@
 import { Patient } from '../../core/pool/statements/patient.ts'
 import { Prompt } from '../../core/pool/statements/prompt.ts'
 import { ServiceTime } from '../../core/admission/servicetime.ts'
-import { Progress } from '../../core/pool/reads/progress.ts'
-import { Reach } from '../../core/pool/placing/reach.ts'
-import { Thrift } from '../../core/pool/placing/thrift.ts'
-import { Standing } from '../../core/pool/reads/standing.ts'
+import { LogProgress } from '../../core/pool/reads/logprogress.ts'
+import { ReachingHosts } from '../../core/pool/placing/reachinghosts.ts'
+import { ConnectionScarcity } from '../../core/pool/placing/connectionscarcity.ts'
+import { LogState } from '../../core/pool/reads/logstate.ts'
 import type { Token } from '../../core/token.ts'
 import type { Log } from '../log/log.ts'
 import { clock } from './clock.ts'
@@ -56,7 +56,7 @@
 /** The only place where the group's pure values are replaced. */
 export class PoolGroup {
   private readonly connectionPools = new Map<EndpointId, ConnectionPool>()
-  private readonly standings = new Map<EndpointId, Standing>()
+  private readonly standings = new Map<EndpointId, LogState>()
   private readonly contacts = new Map<EndpointId, Contact>()
   /** Where reads go. */
   readonly readRouter: ReadRouter
@@ -64,14 +64,14 @@
   private readonly unreached = new Set<EndpointId>()
   private directory: Directory = Endpoints.empty
   private leadership: Leadership
-  private progress = Progress.empty
+  private progress = LogProgress.empty
   private share: EndpointShare = { connections: 1, isOwner: false, hasRoom: false, otherOwners: [] }
   /** The newest that was announced; an old one concerns an endpoint that doesn't lead any more. */
   private handover: Handover | undefined
-  private reach = Reach.none
+  private reach = ReachingHosts.none
   private readonly service = ServiceTime.create()
   /** Who asked what of it lately. */
-  readonly usage = GroupUse.create(clock.now())
+  readonly usage = GroupUsage.create(clock.now())
   /** For those who wait for a leader. */
   readonly outage: Outage
   /** What the other owners have at the endpoints. */
@@ -118,7 +118,7 @@
   }
 
   /** What this host has at each endpoint, for operators. */
-  get endpointStats (): LoadPicture['groups'][number]['endpoints'] {
+  get endpointStats (): LoadSnapshot['groups'][number]['endpoints'] {
     return this.endpoints.map(({ id, isLeaving, places }) => {
       const { connections, atWork, waiting } = this.connectionPools.get(id)?.stats ?? NO_CONNECTIONS
       return { endpoint: id, isPrimary: id === this.leader, isLeaving, places, connections, atWork, waiting: [...waiting], unreached: this.unreached.has(id) ? 1 : 0 }
@@ -226,7 +226,7 @@
     const { share: dealt, share: { hasRoom }, options: { log, metrics } } = this
     const count = (places: number, queued: () => number) => Places.create({ endpoint: id, places, queued, others: this.sharedLoad, answers: () => this.readRouter.answers(id), log, metrics, chance })
     const onDialled = (outcome: 'opened' | DialFault) => this.recordDial(id, outcome)
-    const lender = ConnectionPool.create({ endpoint, dialer, chance, thrift: hasRoom ? Thrift.none : Thrift.started(startedAt), share: dealt, count, onDialEnded: onDialled })
+    const lender = ConnectionPool.create({ endpoint, dialer, chance, thrift: hasRoom ? ConnectionScarcity.none : ConnectionScarcity.started(startedAt), share: dealt, count, onDialEnded: onDialled })
     this.connectionPools.set(id, lender)
     return lender
   }
@@ -238,7 +238,7 @@
 
   /** The position that a read of the age must find; undefined when only the primary can serve it. */
   requiredPosition (own: Token, ageMs: number): Token | undefined {
-    return this.progress.required(own, ageMs, clock.age())
+    return this.progress.requiredPosition(own, ageMs, clock.age())
   }
 
   /** How long ago the primary's position was last asked for, in milliseconds; undefined when it never was. */
@@ -264,7 +264,7 @@
   }
 
   recordBehind (id: EndpointId): void {
-    this.standings.set(id, this.standing(id).fellShort(clock.now()))
+    this.standings.set(id, this.standing(id).withRefusal(clock.now()))
     this.readRouter.recordBehind(id)
   }
 
@@ -323,8 +323,8 @@
     }
   }
 
-  private standing (id: EndpointId): Standing {
-    return this.standings.get(id) ?? Standing.unknown
+  private standing (id: EndpointId): LogState {
+    return this.standings.get(id) ?? LogState.unknown
   }
 
   private setLeadership (next: Leadership, cause: string): void {
--- a/src/shell/pool/groups.ts
+++ b/src/shell/pool/groups.ts
@@ -7,10 +7,10 @@
 import type { Row } from '../../core/pool/membership/row.ts'
 import { GroupPlaces } from '../../core/pool/placing/groupplaces.ts'
 import type { PoolHost } from '../../core/pool/placing/host.ts'
-import { oneOwner } from '../../core/pool/placing/oneowner.ts'
+import { singleOwnerAffinity } from '../../core/pool/placing/singleowneraffinity.ts'
 import type { Ownership } from '../../core/pool/placing/ownership.ts'
 import { Ownerships } from '../../core/pool/placing/ownerships.ts'
-import type { TeamMeeting } from '../../core/pool/placing/teammeeting.ts'
+import type { TeamAffinity } from '../../core/pool/placing/teamaffinity.ts'
 import type { Log } from '../log/log.ts'
 import { PoolGroup } from './group.ts'
 import type { PoolMetrics } from './metrics.ts'
@@ -24,7 +24,7 @@
   /** Where what hosts tell each other through the store lies. */
   readonly table: string
   /** Where a team's sessions meet if few owners are picked. */
-  readonly affinity?: TeamMeeting | undefined
+  readonly affinity?: TeamAffinity | undefined
   readonly platform: Platform
   readonly log: Log
   readonly metrics: PoolMetrics
@@ -108,7 +108,7 @@
 
   /** Works out anew who owns which group. */
   assignOwners (): void {
-    const { self, config, hosts, affinity: meeting = oneOwner } = this.options
+    const { self, config, hosts, affinity: meeting = singleOwnerAffinity } = this.options
     const { groups, teams } = config()
     const sized = groups.map(({ id, connections }) => ({ id, connections, places: this.places.get(id) ?? GroupPlaces.none }))
     const before = this.ownerships
@@ -117,14 +117,14 @@
       const ownership = this.ownerships.get(id)!
       this.logOwners(id, before.get(id), ownership)
       const isOwner = ownership.isOwner(self.id)
-      const isPicked = isOwner && ownership.hasRoom
+      const isPicked = isOwner && ownership.hasSpareConnections
       const others = isPicked ? ownership.owners.filter(owner => owner.id !== self.id) : []
-      this.groups.get(id)?.setShare({ connections: isOwner ? ownership.share : 1, isOwner, hasRoom: isPicked, otherOwners: others })
+      this.groups.get(id)?.setShare({ connections: isOwner ? ownership.connectionsPerOwner : 1, isOwner, hasRoom: isPicked, otherOwners: others })
     }
   }
 
   /** Written by owners only: with hundreds of hosts that each write whenever one comes or goes, nobody could read it. */
-  private logOwners (group: GroupId, before: Ownership | undefined, { owners, share, hasRoom }: Ownership): void {
+  private logOwners (group: GroupId, before: Ownership | undefined, { owners, connectionsPerOwner: share, hasSpareConnections: hasRoom }: Ownership): void {
     const { self, log } = this.options
     const namesOf = (hosts: readonly PoolHost[]) => hosts.map(({ id }) => id).sort().join(' ')
     const isConcerned = [...owners, ...before?.owners ?? []].some(({ id }) => id === self.id)
@@ -155,7 +155,7 @@
       log,
       metrics,
       hosts,
-      failoverOrder: () => this.ownerships.get(group.id)?.turns ?? [self.id],
+      failoverOrder: () => this.ownerships.get(group.id)?.failoverOrder ?? [self.id],
       isSynchronous: () => config().group(group.id)?.isSynchronous === true,
       signal
     })
--- a/src/shell/pool/lending/connectionpool.test.ts
+++ b/src/shell/pool/lending/connectionpool.test.ts
@@ -5,8 +5,8 @@
 import type { Endpoint } from '../../../core/directory/endpoint.ts'
 import type { TeamId } from '../../../core/id/team.ts'
 import type { OthersLoad } from '../../../core/pool/load/othersload.ts'
-import { Thrift } from '../../../core/pool/placing/thrift.ts'
-import { Answers } from '../../../core/pool/health/answers.ts'
+import { ConnectionScarcity } from '../../../core/pool/placing/connectionscarcity.ts'
+import { ResponseStats } from '../../../core/pool/health/responsestats.ts'
 import { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
 import type { Command } from '../../../core/statement/command.ts'
@@ -68,10 +68,10 @@
     this.lender = ConnectionPool.create({
       endpoint,
       share: { connections, isOwner: true, otherOwners: [], hasRoom },
-      thrift: Thrift.none,
+      thrift: ConnectionScarcity.none,
       chance: () => 0,
       onDialEnded: () => {},
-      count: (count, queued) => Places.create({ endpoint: endpoint.id, places: count, queued, others: IDLE, answers: () => Answers.create(), log: Log.silent, metrics: PoolMetrics.create(), chance: () => 0 }),
+      count: (count, queued) => Places.create({ endpoint: endpoint.id, places: count, queued, others: IDLE, answers: () => ResponseStats.create(), log: Log.silent, metrics: PoolMetrics.create(), chance: () => 0 }),
       dialer: {
         dial: async (_endpoint, team) => {
           if (this.dialMs > 0) await new Promise<void>(resolve => { setTimeout(resolve, this.dialMs) })
--- a/src/shell/pool/lending/connectionpool.ts
+++ b/src/shell/pool/lending/connectionpool.ts
@@ -9,7 +9,7 @@
 import type { TeamId } from '../../../core/id/team.ts'
 import type { Instant } from '../../../core/id/instant.ts'
 import type { EndpointLoad } from '../../../core/pool/load/endpointload.ts'
-import { Thrift } from '../../../core/pool/placing/thrift.ts'
+import { ConnectionScarcity } from '../../../core/pool/placing/connectionscarcity.ts'
 import { clock } from '../clock.ts'
 import type { EndpointShare } from './endpointshare.ts'
 import type { Dialer } from './dialer.ts'
@@ -46,7 +46,7 @@
   readonly count: (places: number, queued: () => number) => Places
   readonly chance: () => number
   /** Whether connections are scarce as it begins. */
-  readonly thrift: Thrift
+  readonly thrift: ConnectionScarcity
   /** Told of each try to open a connection. */
   readonly onDialEnded: (outcome: 'opened' | DialFault) => void
 }
@@ -67,7 +67,7 @@
   private readonly ticker = Ticker.create(TICK_MS, () => this.step({ kind: 'tick' }))
   private isClosed = false
   private limit: number
-  private thrift: Thrift
+  private thrift: ConnectionScarcity
   /** Undefined where every host connects by itself, and where the endpoint doesn't tell its places. */
   private places: Places | undefined
   private readonly openings = OpeningQueue.create<BorrowRequest>()
@@ -151,7 +151,7 @@
     else if (isUsable) this.idle.add(link)
     else link.close()
     this.step({ kind: 'finished', id, isUsable })
-    if (this.idle.has(link)) this.idleTimeouts.rest(link, this.thrift.restMs(clock.now()))
+    if (this.idle.has(link)) this.idleTimeouts.rest(link, this.thrift.idleTimeoutMs(clock.now()))
   }
 
   /**
--- a/src/shell/pool/lending/idlelinks.ts
+++ b/src/shell/pool/lending/idlelinks.ts
@@ -2,7 +2,7 @@
 
 import type { Instant } from '../../../core/id/instant.ts'
 import type { TeamId } from '../../../core/id/team.ts'
-import { ConnectionUse } from '../../../core/pool/load/connectionuse.ts'
+import { ConnectionUsage } from '../../../core/pool/load/connectionusage.ts'
 import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { EndpointLink } from './link.ts'
 
@@ -13,7 +13,7 @@
   /** The team that the endpoint was told of as the connection was opened; none in it for this process's own. */
   private readonly teams = new WeakMap<EndpointLink, TeamId>()
 
-  private readonly use = ConnectionUse.create()
+  private readonly use = ConnectionUsage.create()
 
   private constructor () {}
 
--- a/src/shell/pool/lending/places.ts
+++ b/src/shell/pool/lending/places.ts
@@ -3,11 +3,11 @@
 import type { CallerId } from '../../../core/id/caller.ts'
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { Instant } from '../../../core/id/instant.ts'
-import type { Answers } from '../../../core/pool/health/answers.ts'
+import type { ResponseStats } from '../../../core/pool/health/responsestats.ts'
 import type { EndpointLoad } from '../../../core/pool/load/endpointload.ts'
 import type { OthersLoad } from '../../../core/pool/load/othersload.ts'
 import type { PlaceEvent } from '../../../core/pool/load/placeevent.ts'
-import { PlaceGate } from '../../../core/pool/load/placegate.ts'
+import { PlaceScheduler } from '../../../core/pool/load/placescheduler.ts'
 import { PlaceLimit } from '../../../core/pool/load/placelimit.ts'
 import type { PlaceOrder } from '../../../core/pool/load/placeorder.ts'
 import type { Ending } from '../../../core/pool/statements/ending.ts'
@@ -25,7 +25,7 @@
   readonly queued: () => number
   readonly others: OthersLoad
   /** How the endpoint answered lately, for the reports. */
-  readonly answers: () => Pick<Answers, 'answerMs' | 'failing'>
+  readonly answers: () => Pick<ResponseStats, 'answerMs' | 'failing'>
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly chance: () => number
@@ -52,7 +52,7 @@
 const UNANSWERED: ReadonlySet<PlaceEnding> = new Set<PlaceEnding>(['broken', 'outOfTime'])
 
 export class Places {
-  private readonly gate = PlaceGate.create()
+  private readonly gate = PlaceScheduler.create()
   private readonly limit: PlaceLimit
   private readonly pending = new Map<number, Settle>()
   private nextId = 1
@@ -160,7 +160,7 @@
   /** The endpoint has more to do than it takes: other hosts are there too. */
   private recordShed (now: Instant): void {
     const { metrics, log, endpoint } = this.options
-    this.limit.shed(now)
+    this.limit.backOff(now)
     metrics.placesShed.inc()
     if (now - this.shedAt < LOG_INTERVAL_MS) return
     this.shedAt = now
--- a/src/shell/pool/load/gauges.ts
+++ b/src/shell/pool/load/gauges.ts
@@ -2,12 +2,12 @@
 
 import { Gauge, type Registry } from 'prom-client'
 import { classes } from '../../../core/admission/classes.ts'
-import type { LoadPicture } from '../../../core/pool/load/picture.ts'
+import type { LoadSnapshot } from '../../../core/pool/load/loadsnapshot.ts'
 
 /** Teams of a group that have a line of their own: names come from a configuration that may hold thousands. */
 const MAX_TEAMS = 3
 
-export function loadGauges (registry: Registry, look: () => LoadPicture): void {
+export function loadGauges (registry: Registry, look: () => LoadSnapshot): void {
   const waiting: Gauge<'endpoint' | 'class'> = new Gauge({
     name: 'agatepond_waiting',
     help: 'Statements that wait with this host for an endpoint, by class',
--- a/src/shell/pool/load/loadport.ts
+++ b/src/shell/pool/load/loadport.ts
@@ -1,8 +1,8 @@
 /** Reports of load between hosts, as datagrams. */
 
 import { createSocket, type Socket } from 'node:dgram'
-import type { Report } from '../../../core/pool/load/report.ts'
-import { reportLine } from '../../../core/pool/load/reportline.ts'
+import type { LoadReport } from '../../../core/pool/load/loadreport.ts'
+import { reportCodec } from '../../../core/pool/load/reportcodec.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 import type { Log } from '../../log/log.ts'
 import type { PoolMetrics } from '../metrics.ts'
@@ -21,7 +21,7 @@
 
 /** Datagrams: a report that is lost is followed by the next, and a stream would bring one that is late before those that are new. */
 export class LoadPort implements LoadTransport {
-  private listener: (report: Report) => void = () => undefined
+  private listener: (report: LoadReport) => void = () => undefined
   private isFailing = false
 
   private constructor (private readonly socket: Socket, private readonly options: Options) {
@@ -42,13 +42,13 @@
     return { ip, port: port + PORT_OFFSET }
   }
 
-  onReport (listener: (report: Report) => void): void {
+  onReport (listener: (report: LoadReport) => void): void {
     this.listener = listener
   }
 
-  send (hosts: readonly PoolHost[], report: Report): void {
+  send (hosts: readonly PoolHost[], report: LoadReport): void {
     if (this.options.signal.aborted) return
-    const message = Buffer.from(reportLine.encode(report))
+    const message = Buffer.from(reportCodec.encode(report))
     for (const { address } of hosts) {
       const { ip, port } = LoadPort.reportAddress(address)
       this.socket.send(message, port, ip, error => this.sent(error))
@@ -56,7 +56,7 @@
   }
 
   private received (message: Buffer): void {
-    const report = reportLine.decode(message.toString('utf8'))
+    const report = reportCodec.decode(message.toString('utf8'))
     this.options.metrics.loadReports.inc({ what: report === undefined ? 'unreadable' : 'heard' })
     if (report !== undefined) this.listener(report)
   }
--- a/src/shell/pool/load/loadreporter.test.ts
+++ b/src/shell/pool/load/loadreporter.test.ts
@@ -6,10 +6,10 @@
 import type { GroupId } from '../../../core/id/group.ts'
 import type { HostId } from '../../../core/id/host.ts'
 import type { Instant } from '../../../core/id/instant.ts'
-import type { Report } from '../../../core/pool/load/report.ts'
-import { reportLine } from '../../../core/pool/load/reportline.ts'
+import type { LoadReport } from '../../../core/pool/load/loadreport.ts'
+import { reportCodec } from '../../../core/pool/load/reportcodec.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
-import { eachCentre } from '../../../core/pool/placing/eachcentre.ts'
+import { dataCentreAffinity } from '../../../core/pool/placing/datacentreaffinity.ts'
 import { Ownerships } from '../../../core/pool/placing/ownerships.ts'
 import { Log } from '../../log/log.ts'
 import { PoolMetrics } from '../metrics.ts'
@@ -30,8 +30,8 @@
   atWork = 0
   isUp = true
   /** Reports that came while it stood still. */
-  readonly unread: Report[] = []
-  hear: (report: Report) => void = () => undefined
+  readonly unread: LoadReport[] = []
+  hear: (report: LoadReport) => void = () => undefined
   look = () => undefined as void
 
   get loads () {
@@ -92,8 +92,8 @@
     return `${owners}: ${atWork}`
   }
 
-  private carry (from: string, to: string, report: Report): void {
-    this.bytes += reportLine.encode(report).length
+  private carry (from: string, to: string, report: LoadReport): void {
+    this.bytes += reportCodec.encode(report).length
     const { isUp, unread, hear } = this.at(to)
     if (!this.passes(from, to)) return
     if (isUp) hear(report)
@@ -193,7 +193,7 @@
 
   it.each([84, 300, 2000])('send about as many bytes with %d hosts', count => {
     const hosts = Array.from({ length: count }, (_, i) => ({ ...hostOf(`h${i}`), dataCentre: `z${i % 3}` as DataCentreId, capacity: 0.05 }))
-    const { owners } = Ownerships.of([{ id: G, connections: 150, places: { each: 2, all: 60 } }], hosts, true, eachCentre).get(G)!
+    const { owners } = Ownerships.of([{ id: G, connections: 150, places: { perEndpoint: 2, total: 60 } }], hosts, true, dataCentreAffinity).get(G)!
     expect(owners.length).toBe(18)
     const made = new Owners('abcdefghijklmnopqrst'.slice(0, owners.length))
     for (let i = 0; i < owners.length; i++) made.at('abcdefghijklmnopqrst'[i]!).atWork = 3
--- a/src/shell/pool/load/loadreporter.ts
+++ b/src/shell/pool/load/loadreporter.ts
@@ -4,7 +4,7 @@
 import type { HostId } from '../../../core/id/host.ts'
 import type { Instant } from '../../../core/id/instant.ts'
 import type { EndpointLoad } from '../../../core/pool/load/endpointload.ts'
-import type { Report } from '../../../core/pool/load/report.ts'
+import type { LoadReport } from '../../../core/pool/load/loadreport.ts'
 import type { Log } from '../../log/log.ts'
 import type { PoolMetrics } from '../metrics.ts'
 import type { LoadTransport } from './loadtransport.ts'
@@ -72,14 +72,14 @@
   private report ({ id, loads, sharedLoad }: LoadedGroup): void {
     const { self, incarnation: life, transport: way, now } = this.options
     if (!sharedLoad.takeIfDue(loads, now())) return
-    way.send(sharedLoad.others, { life, load: { host: self, group: id, number: ++this.number, endpoints: loads } })
+    way.send(sharedLoad.others, { incarnation: life, load: { host: self, group: id, sequence: ++this.number, endpoints: loads } })
   }
 
   /**
    * Guard against a host that stood still and then decides by what lay in its socket, seconds old, as if it were new: it takes nothing until the
    * next look, by which all that is read. It shows as statements held back for load that ended long before.
    */
-  private heard (report: Report): void {
+  private heard (report: LoadReport): void {
     const { group, now, metrics } = this.options
     const shared = this.isCatchingUp ? undefined : group(report.load.group)?.sharedLoad
     if (shared === undefined) metrics.loadReports.inc({ what: 'left' })
--- a/src/shell/pool/load/loadsnapshotof.ts
+++ b/src/shell/pool/load/loadsnapshotof.ts
@@ -1,15 +1,15 @@
 /** Gathers what this host has at its groups' endpoints, and who asked lately. */
 
 import type { HostId } from '../../../core/id/host.ts'
-import { LoadPicture } from '../../../core/pool/load/picture.ts'
+import { LoadSnapshot } from '../../../core/pool/load/loadsnapshot.ts'
 import { clock } from '../clock.ts'
 import type { PoolGroup } from '../group.ts'
 
 /** Groups that this host neither owns nor was asked for are left out: their owners tell of them. */
-export function loadSnapshotOf (host: HostId, groups: Iterable<PoolGroup>): LoadPicture {
+export function loadSnapshotOf (host: HostId, groups: Iterable<PoolGroup>): LoadSnapshot {
   const now = clock.now()
-  return LoadPicture.of(host, [...groups].flatMap(group => {
-    const { teams, rest } = group.usage.largest(LoadPicture.mostTeams, now)
+  return LoadSnapshot.of(host, [...groups].flatMap(group => {
+    const { teams, rest } = group.usage.largest(LoadSnapshot.maxTeams, now)
     const { id, endpointStats: seen, isOwned } = group
     if (!isOwned && teams.length === 0) return []
     return [{ group: id, owners: isOwned ? 1 : 0, classes: [...group.usage.classes(now)], teams: [...teams], rest, endpoints: [...seen] }]
--- a/src/shell/pool/load/refusallog.test.ts
+++ b/src/shell/pool/load/refusallog.test.ts
@@ -1,7 +1,7 @@
 /** What the log and the metrics say of groups that refuse, and how much of it. */
 
 import { afterEach, beforeEach, expect, it, vi } from 'vitest'
-import { LoadPicture } from '../../../core/pool/load/picture.ts'
+import { LoadSnapshot } from '../../../core/pool/load/loadsnapshot.ts'
 import { Log } from '../../log/log.ts'
 import { PoolMetrics } from '../metrics.ts'
 import { loadGauges } from './gauges.ts'
@@ -10,8 +10,8 @@
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-function refusing (...refused: readonly number[]): LoadPicture {
-  return LoadPicture.of('h', refused.map((count, i) => ({
+function refusing (...refused: readonly number[]): LoadSnapshot {
+  return LoadSnapshot.of('h', refused.map((count, i) => ({
     group: `g${i}`,
     owners: 1,
     classes: [{ done: 9, refused: 0 }, { done: 0, refused: count }, { done: 0, refused: 0 }],
@@ -21,7 +21,7 @@
   })))
 }
 
-it.each<[string, LoadPicture, readonly string[]]>([
+it.each<[string, LoadSnapshot, readonly string[]]>([
   ['none refuses: no line', refusing(0, 0), []],
   ['one refuses: its line', refusing(0, 4), ['g1']],
   ['all of ten refuse: those that refuse most', refusing(1, 2, 3, 4, 5, 6, 7, 8, 9, 10), ['g9', 'g8', 'g7', 'g6', 'g5', 'g4', 'g3', 'g2']]
@@ -45,6 +45,6 @@
   expect(text.match(/^agatepond_team_statements\{/gm)).toHaveLength(6)
   expect(text).toContain('agatepond_team_statements{group="g0",team="red",ending="refused"} 4')
   expect(text).toContain('agatepond_waiting{endpoint="e0",class="normal"} 3')
-  picture = LoadPicture.empty
+  picture = LoadSnapshot.empty
   expect(await registry.metrics()).not.toMatch(/^agatepond_(team_statements|waiting)\{/m)
 })
--- a/src/shell/pool/load/refusallog.ts
+++ b/src/shell/pool/load/refusallog.ts
@@ -1,15 +1,15 @@
 /** Says in the log which groups refuse statements, and who asked most of them: a line a group in each period in which it refused any. */
 
 import { classes } from '../../../core/admission/classes.ts'
-import type { LoadPicture } from '../../../core/pool/load/picture.ts'
+import type { LoadSnapshot } from '../../../core/pool/load/loadsnapshot.ts'
 import type { Log } from '../../log/log.ts'
 
 interface Options {
-  readonly look: () => LoadPicture
+  readonly look: () => LoadSnapshot
   readonly log: Log
 }
 
-type Group = LoadPicture['groups'][number]
+type Group = LoadSnapshot['groups'][number]
 
 /** As long as the counts reach back, so that a refusal is told once or twice and never more often than this. */
 const LOG_INTERVAL_MS = 10_000
--- a/src/shell/pool/load/sharedload.ts
+++ b/src/shell/pool/load/sharedload.ts
@@ -3,17 +3,17 @@
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { HostId } from '../../../core/id/host.ts'
 import type { Instant } from '../../../core/id/instant.ts'
-import { LoadBoard } from '../../../core/pool/load/board.ts'
+import { OwnerReports } from '../../../core/pool/load/ownerreports.ts'
 import type { EndpointLoad } from '../../../core/pool/load/endpointload.ts'
 import type { OthersLoad } from '../../../core/pool/load/othersload.ts'
-import type { Report } from '../../../core/pool/load/report.ts'
-import { Told } from '../../../core/pool/load/told.ts'
+import type { LoadReport } from '../../../core/pool/load/loadreport.ts'
+import { ReportSchedule } from '../../../core/pool/load/reportschedule.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 
 /** The only place where the pure values are replaced. */
 export class SharedLoad implements OthersLoad {
-  private board = LoadBoard.empty
-  private lastReport = Told.nothing
+  private board = OwnerReports.empty
+  private lastReport = ReportSchedule.initial
   private owners: readonly PoolHost[] = []
 
   private constructor () {}
@@ -29,27 +29,27 @@
 
   setOwners (others: readonly PoolHost[]): void {
     this.owners = others
-    this.board = this.board.among(others.map(({ id }) => id))
+    this.board = this.board.forOwners(others.map(({ id }) => id))
   }
 
   at (endpoint: EndpointId, now: Instant): ReturnType<OthersLoad['at']> {
     return this.board.at(endpoint, now)
   }
 
-  heard (report: Report, now: Instant): void {
+  heard (report: LoadReport, now: Instant): void {
     this.board = this.board.with(report, now)
   }
 
   /** Drops what counts no more, and tells which owners went silent with load since this was last asked. */
   expire (now: Instant): readonly HostId[] {
     const silent = this.board.silent(now)
-    this.board = this.board.current(now)
+    this.board = this.board.withoutExpired(now)
     return silent
   }
 
   /** As if no report had come. */
   reset (): void {
-    this.board = LoadBoard.empty.among(this.owners.map(({ id }) => id))
+    this.board = OwnerReports.empty.forOwners(this.owners.map(({ id }) => id))
   }
 
   /** Whether to tell the others now; a yes counts as told. */
--- a/src/shell/pool/node.ts
+++ b/src/shell/pool/node.ts
@@ -3,13 +3,13 @@
 import type { KeyDigest } from '../../core/pool/access/keydigest.ts'
 import { permissionOf } from '../../core/pool/access/permission.ts'
 import type { PoolConfig } from '../../core/pool/config.ts'
-import type { LoadPicture } from '../../core/pool/load/picture.ts'
+import type { LoadSnapshot } from '../../core/pool/load/loadsnapshot.ts'
 import { Pace } from '../../core/pool/membership/pace.ts'
 import type { Row } from '../../core/pool/membership/row.ts'
 import type { TableName } from '../../core/pool/membership/tablename.ts'
 import type { PoolHost } from '../../core/pool/placing/host.ts'
 import { LineBudget } from '../../core/pool/statements/linebudget.ts'
-import { MissedHosts } from '../../core/pool/placing/missedhosts.ts'
+import { UnreachableHosts } from '../../core/pool/placing/unreachablehosts.ts'
 import { SharedRetryBudget } from '../../core/retry/sharedretrybudget.ts'
 import { AllowanceService } from './allowance/allowanceservice.ts'
 import { clock } from './clock.ts'
@@ -47,7 +47,7 @@
   private readonly listing: EndpointListing
   private readonly tableReplicator: TableReplicator
   private readonly configuration: Configuration
-  private unreachableHosts = MissedHosts.none
+  private unreachableHosts = UnreachableHosts.none
   /** Callers who came before the process was ready. */
   private readonly startWaiters = Waiters.create()
   private readonly startedAt = clock.now()
@@ -127,7 +127,7 @@
   }
 
   /** What operators see of this host's load. */
-  get load (): LoadPicture {
+  get load (): LoadSnapshot {
     return loadSnapshotOf(this.options.self.id, this.groups.all)
   }
 
@@ -226,7 +226,7 @@
     const route = config.route(database)
     const team = config.holderOf(key)
     const part = team === undefined ? undefined : { id: team.id, share: config.shareOf(team) }
-    const places = route === undefined ? [] : this.groups.ownership(route.group)?.placesFor(this.options.self, part) ?? []
+    const places = route === undefined ? [] : this.groups.ownership(route.group)?.forwardingTargets(this.options.self, part) ?? []
     return this.unreachableHosts.last(places, clock.now())
   }
 
--- a/src/shell/pool/nodeoptions.ts
+++ b/src/shell/pool/nodeoptions.ts
@@ -3,7 +3,7 @@
 import type { AllowanceBounds } from '../../core/allowance/bounds.ts'
 import type { LinkId } from '../../core/pool/membership/linkid.ts'
 import type { PoolHost } from '../../core/pool/placing/host.ts'
-import type { TeamMeeting } from '../../core/pool/placing/teammeeting.ts'
+import type { TeamAffinity } from '../../core/pool/placing/teamaffinity.ts'
 import type { Log } from '../log/log.ts'
 import type { TokenTransport } from './allowance/tokentransport.ts'
 import type { LoadTransport } from './load/loadtransport.ts'
@@ -28,7 +28,7 @@
   /** How exactly allowances of teams are kept, and the way to those who issue them; undefined where teams have none. */
   readonly allowances?: { readonly bounds: AllowanceBounds, readonly port: TokenTransport } | undefined
   /** Where a team's sessions meet if few owners are picked: at one of them, unless the data centres are far from each other. */
-  readonly affinity?: TeamMeeting | undefined
+  readonly affinity?: TeamAffinity | undefined
   /** How owners tell each other of their load; undefined where they don't. */
   readonly loadTransport?: LoadTransport | undefined
   readonly platform: Platform
--- a/src/shell/pool/readrouter.ts
+++ b/src/shell/pool/readrouter.ts
@@ -6,12 +6,12 @@
 import type { GroupId } from '../../core/id/group.ts'
 import type { Instant } from '../../core/id/instant.ts'
 import type { TeamId } from '../../core/id/team.ts'
-import type { Answers } from '../../core/pool/health/answers.ts'
+import type { ResponseStats } from '../../core/pool/health/responsestats.ts'
 import type { OthersLoad } from '../../core/pool/load/othersload.ts'
 import { readCandidates } from '../../core/pool/reads/candidates.ts'
-import type { Progress } from '../../core/pool/reads/progress.ts'
-import { SharedReads } from '../../core/pool/reads/sharedreads.ts'
-import type { Standing } from '../../core/pool/reads/standing.ts'
+import type { LogProgress } from '../../core/pool/reads/logprogress.ts'
+import { ReadBalancer } from '../../core/pool/reads/readbalancer.ts'
+import type { LogState } from '../../core/pool/reads/logstate.ts'
 import type { Ending } from '../../core/pool/statements/ending.ts'
 import type { Token } from '../../core/token.ts'
 import type { Log } from '../log/log.ts'
@@ -31,10 +31,10 @@
 interface View {
   readonly endpoints: readonly Endpoint[]
   readonly primary: EndpointId | undefined
-  readonly progress: Progress
+  readonly progress: LogProgress
   /** Whether owners were picked, and this host is one. */
   readonly isShared: boolean
-  readonly standing: (id: EndpointId) => Standing
+  readonly standing: (id: EndpointId) => LogState
   readonly lender: (id: EndpointId) => ConnectionPool | undefined
   readonly isReachable: (id: EndpointId) => boolean
 }
@@ -61,7 +61,7 @@
 
 /** The only place where what owners share about reads is replaced. */
 export class ReadRouter {
-  private readonly shared = SharedReads.create()
+  private readonly shared = ReadBalancer.create()
 
   private constructor (private readonly options: Options, private readonly view: () => View) {}
 
@@ -78,10 +78,10 @@
       dataCentre: this.options.dataCentre,
       leftMs,
       queued: (id: EndpointId) => view.lender(id)?.queued ?? 0,
-      mustOpen: (id: EndpointId) => team !== undefined && view.lender(id)?.hasIdle(team) !== true,
-      mayHold: (id: EndpointId) => view.standing(id).mayHold(position, now)
+      needsNewConnection: (id: EndpointId) => team !== undefined && view.lender(id)?.hasIdle(team) !== true,
+      mayContain: (id: EndpointId) => view.standing(id).mayContain(position, now)
     }
-    if (!view.isShared || !SharedReads.isPossible(view.endpoints)) {
+    if (!view.isShared || !ReadBalancer.isSupported(view.endpoints)) {
       const endpoint = readCandidates(all, position, now).find(id => !tried.has(id))
       return endpoint === undefined ? undefined : { endpoint, waitMs: 0 }
     }
@@ -93,12 +93,12 @@
 
   /** Takes what the group's other owners have at its endpoints from now on. */
   setOthersLoad (others: OthersLoad): void {
-    this.shared.takeOthers(others)
+    this.shared.setOthersLoad(others)
   }
 
   /** How the endpoint answered this owner lately. */
-  answers (id: EndpointId): Answers {
-    return this.shared.health.answers(id)
+  answers (id: EndpointId): ResponseStats {
+    return this.shared.health.responses(id)
   }
 
   /** The part of its reads that the endpoint keeps, by how it served them; from 0 to 1. */
@@ -112,7 +112,7 @@
     const endpoint = isShared ? endpoints.find(one => one.id === id) : undefined
     if (endpoint === undefined) return undefined
     const sentAt = clock.now()
-    const ended = this.shared.health.sent(id, this.shared.crowd(endpoint, sentAt), sentAt)
+    const ended = this.shared.health.sent(id, this.shared.statementsPerPlace(endpoint, sentAt), sentAt)
     return ending => ended(ending === 'done' ? 'done' : FAILED.has(ending) ? 'failed' : 'notRun', clock.now())
   }
 
@@ -123,7 +123,7 @@
   }
 
   recordBehind (id: EndpointId): void {
-    this.shared.fellShort(id, clock.age())
+    this.shared.recordRefusal(id, clock.age())
   }
 
   /** The endpoint is gone, or began anew under its id. */
@@ -133,7 +133,7 @@
 
   private checkHealth (view: View, now: Instant): void {
     const { id: group, log, metrics } = this.options
-    for (const { id, isAside, failing, answerMs } of this.shared.look(view, now)) {
+    for (const { id, isEjected: isAside, failing, answerMs } of this.shared.evaluateHealth(view, now)) {
       metrics.asides.inc({ change: isAside ? 'aside' : 'back' })
       log.write(isAside ? 'endpointAside' : 'endpointBack', { endpoint: id, group, failing: Number(failing.toFixed(2)), answerMs: Math.round(answerMs ?? -1) })
     }
