--- a/src/cli/rollhosts.ts
+++ b/src/cli/rollhosts.ts
@@ -1,11 +1,11 @@
 /** The hosts that the roll in the store names, by their newest word. Rows of hosts that ended long ago may be among them. */
 
 import type { HostEntry } from '../core/pool/membership/hostentry.ts'
-import { rollRow } from '../core/pool/membership/rollrow.ts'
+import { registryRow } from '../core/pool/membership/registryrow.ts'
 import type { Row } from '../core/pool/membership/row.ts'
 
 export function rollHosts (roll: readonly Row[]): readonly HostEntry[] {
-  const entries = roll.flatMap(({ value }) => value === undefined ? [] : rollRow.decode(value)).sort((a, b) => a.incarnation - b.incarnation)
+  const entries = roll.flatMap(({ value }) => value === undefined ? [] : registryRow.decode(value)).sort((a, b) => a.incarnation - b.incarnation)
   const newest = new Map(entries.map(entry => [entry.id, entry]))
   return [...newest.values()].sort((a, b) => a.id < b.id ? -1 : 1)
 }
--- a/src/core/pool/access/permission.test.ts
+++ b/src/core/pool/access/permission.test.ts
@@ -6,17 +6,17 @@
 import type { Team } from './team.ts'
 
 const TEAM: Team = { id: 't' as TeamId, keys: [], rate: undefined }
-const STRICT = { trustMs: 4750, freshMs: 3900 }
-const LAX = { trustMs: Infinity, freshMs: 3900 }
+const STRICT = { maxConfigAgeMs: 4750, normalConfigAgeMs: 3900 }
+const LAX = { maxConfigAgeMs: Infinity, normalConfigAgeMs: 3900 }
 
 it.each<[string, Parameters<typeof permissionOf>[0], Parameters<typeof permissionOf>[1], string]>([
-  ['a key that is held', { isOpen: false, holder: TEAM, ageMs: 100 }, STRICT, 't'],
-  ['a key that nobody holds', { isOpen: false, holder: undefined, ageMs: 100 }, STRICT, 'unauthorised'],
-  ['a key that may have been added since', { isOpen: false, holder: undefined, ageMs: 3901 }, STRICT, 'outOfTouch'],
-  ['a key that may have been taken away since, within the bound', { isOpen: false, holder: TEAM, ageMs: 4750 }, STRICT, 't'],
-  ['a key that may have been taken away for longer', { isOpen: false, holder: TEAM, ageMs: 4751 }, STRICT, 'outOfTouch'],
-  ['the same where that is allowed', { isOpen: false, holder: TEAM, ageMs: Infinity }, LAX, 't'],
-  ['no key where none is needed, whatever is known', { isOpen: true, holder: undefined, ageMs: Infinity }, STRICT, 'open']
+  ['a key that is held', { isPublic: false, holder: TEAM, ageMs: 100 }, STRICT, 't'],
+  ['a key that nobody holds', { isPublic: false, holder: undefined, ageMs: 100 }, STRICT, 'unauthorised'],
+  ['a key that may have been added since', { isPublic: false, holder: undefined, ageMs: 3901 }, STRICT, 'outOfTouch'],
+  ['a key that may have been taken away since, within the bound', { isPublic: false, holder: TEAM, ageMs: 4750 }, STRICT, 't'],
+  ['a key that may have been taken away for longer', { isPublic: false, holder: TEAM, ageMs: 4751 }, STRICT, 'outOfTouch'],
+  ['the same where that is allowed', { isPublic: false, holder: TEAM, ageMs: Infinity }, LAX, 't'],
+  ['no key where none is needed, whatever is known', { isPublic: true, holder: undefined, ageMs: Infinity }, STRICT, 'open']
 ])('%s', (_name, asked, bounds, expected) => {
   const permission = permissionOf(asked, bounds)
   expect(permission.kind === 'granted' ? permission.team?.id ?? 'open' : permission.fault).toBe(expected)
--- a/src/core/pool/config.ts
+++ b/src/core/pool/config.ts
@@ -32,11 +32,11 @@
   readonly groups: readonly GroupLimits[]
   readonly idleTransactionMs: number
   readonly teams: readonly Team[] | undefined
-  private readonly perSecond: number
-  private readonly byKey: ReadonlyMap<KeyDigest, Team>
-  private readonly byTeam: ReadonlyMap<TeamId, Team>
-  private readonly byDatabase: ReadonlyMap<string, Route>
-  private readonly byGroup: ReadonlyMap<GroupId, GroupLimits>
+  private readonly totalPerSecond: number
+  private readonly teamsByKey: ReadonlyMap<KeyDigest, Team>
+  private readonly teamsById: ReadonlyMap<TeamId, Team>
+  private readonly routesByDatabase: ReadonlyMap<string, Route>
+  private readonly groupsById: ReadonlyMap<GroupId, GroupLimits>
 
   private constructor (fields: Fields) {
     this.version = fields.version
@@ -44,11 +44,11 @@
     this.groups = fields.groups
     this.idleTransactionMs = fields.idleTransactionMs
     this.teams = fields.teams
-    this.perSecond = fields.teams?.reduce((sum, { rate }) => sum + (rate?.perSecond ?? 0), 0) ?? 0
-    this.byKey = new Map(fields.teams?.flatMap(team => team.keys.map(key => [key, team] as const)))
-    this.byTeam = new Map(fields.teams?.map(team => [team.id, team]))
-    this.byDatabase = new Map(fields.routes.map(route => [route.database, route]))
-    this.byGroup = new Map(fields.groups.map(group => [group.id, group]))
+    this.totalPerSecond = fields.teams?.reduce((sum, { rate }) => sum + (rate?.perSecond ?? 0), 0) ?? 0
+    this.teamsByKey = new Map(fields.teams?.flatMap(team => team.keys.map(key => [key, team] as const)))
+    this.teamsById = new Map(fields.teams?.map(team => [team.id, team]))
+    this.routesByDatabase = new Map(fields.routes.map(route => [route.database, route]))
+    this.groupsById = new Map(fields.groups.map(group => [group.id, group]))
   }
 
   static of (fields: Fields): PoolConfig {
@@ -56,30 +56,30 @@
   }
 
   route (database: string): Route | undefined {
-    return this.byDatabase.get(database)
+    return this.routesByDatabase.get(database)
   }
 
   /** Whether callers of the database need no key. */
-  isOpen (route: Route): boolean {
-    return this.teams === undefined || route.isOpen === true
+  isPublic (route: Route): boolean {
+    return this.teams === undefined || route.isPublic === true
   }
 
   /** The team that holds the key; undefined for nobody. */
   holderOf (key: KeyDigest | undefined): Team | undefined {
-    return key === undefined ? undefined : this.byKey.get(key)
+    return key === undefined ? undefined : this.teamsByKey.get(key)
   }
 
   /** The part of all that teams may ask which is the team's, from 0 to 1; as large a part as any other's where it has no limit. */
   shareOf ({ rate }: Team): number {
     const { teams = [] } = this
-    return rate === undefined || this.perSecond === 0 ? 1 / Math.max(1, teams.length) : rate.perSecond / this.perSecond
+    return rate === undefined || this.totalPerSecond === 0 ? 1 / Math.max(1, teams.length) : rate.perSecond / this.totalPerSecond
   }
 
   team (id: TeamId): Team | undefined {
-    return this.byTeam.get(id)
+    return this.teamsById.get(id)
   }
 
   group (id: GroupId): GroupLimits | undefined {
-    return this.byGroup.get(id)
+    return this.groupsById.get(id)
   }
 }
--- a/src/core/pool/succession/expectation.test.ts
+++ b/src/core/pool/failover/failoverestimate.test.ts
@@ -2,19 +2,19 @@
 
 import { describe, expect, it } from 'vitest'
 import type { Instant } from '../../id/instant.ts'
-import { Expectation } from './expectation.ts'
+import { FailoverEstimate } from './failoverestimate.ts'
 
 const STEPS = {
-  '-': (sum: Expectation, now: Instant) => sum.lost(now),
-  '+': (sum: Expectation, now: Instant) => sum.back(now),
-  '=': (sum: Expectation, now: Instant) => sum.replaced(now),
-  '?': (sum: Expectation, now: Instant) => sum.claimed(now + 1, now),
-  '!': (sum: Expectation) => sum.halted()
+  '-': (sum: FailoverEstimate, now: Instant) => sum.lost(now),
+  '+': (sum: FailoverEstimate, now: Instant) => sum.back(now),
+  '=': (sum: FailoverEstimate, now: Instant) => sum.replaced(now),
+  '?': (sum: FailoverEstimate, now: Instant) => sum.claimed(now + 1, now),
+  '!': (sum: FailoverEstimate) => sum.aborted()
 } as const
 
 /** Plays texts such as `-0` (lost at 0), `?300` (the lease claimed), `!400` (come to nothing), `+500` (the same is back), `=900` (another leads). */
-function expectation (texts: string): Expectation {
-  return texts.split(' ').reduce((sum, text) => STEPS[text[0] as keyof typeof STEPS](sum, Number(text.slice(1)) as Instant), Expectation.none)
+function estimate (texts: string): FailoverEstimate {
+  return texts.split(' ').reduce((sum, text) => STEPS[text[0] as keyof typeof STEPS](sum, Number(text.slice(1)) as Instant), FailoverEstimate.none)
 }
 
 describe('a primary is expected', () => {
@@ -34,22 +34,22 @@
     ['as claimed once, though heard of twice', '-0 ?300 ?300 ?1500', 1500, 725],
     ['anew after a while with one', '-0 ?300 +500 -4000', 4000, 1450]
   ])('%s', (_, texts, now, left) => {
-    expect(expectation(texts).leftMs(now as Instant)).toBe(left)
+    expect(estimate(texts).remainingMs(now as Instant)).toBe(left)
   })
 
   it('in the time that those before took', () => {
     const seen = Array.from({ length: 30 }, (_, i) => `-${i * 10_000} ?${i * 10_000 + 100} =${i * 10_000 + 800}`).join(' ')
-    expect(Math.round(expectation(`${seen} -300000`).leftMs(300_000 as Instant)!)).toBe(800)
-    expect(expectation(`${seen} -300000 ?300100`).leftMs(301_300 as Instant)).toBeUndefined()
+    expect(Math.round(estimate(`${seen} -300000`).remainingMs(300_000 as Instant)!)).toBe(800)
+    expect(estimate(`${seen} -300000 ?300100`).remainingMs(301_300 as Instant)).toBeUndefined()
   })
 
   it('in no shorter time after an ordered handover', () => {
-    expect(expectation('?0 -900 =950 -10000').leftMs(10_000 as Instant)).toBe(1450)
+    expect(estimate('?0 -900 =950 -10000').remainingMs(10_000 as Instant)).toBe(1450)
   })
 
   it('no longer from a primary that comes and goes', () => {
     // Callers are held for their whole time, over and over, and then refused.
     // The primary is out of reach for two seconds of each three; every loss begins another wait for a successor that nobody makes.
-    expect(expectation('-0 ?300 +2000 -3000').leftMs(3000 as Instant)).toBeUndefined()
+    expect(estimate('-0 ?300 +2000 -3000').remainingMs(3000 as Instant)).toBeUndefined()
   })
 })
--- a/src/core/pool/succession/expectation.ts
+++ b/src/core/pool/failover/failoverestimate.ts
@@ -1,7 +1,7 @@
 /** When a group has a primary again that this host reaches, as far as something is known to be under way. */
 
 import type { Instant } from '../../id/instant.ts'
-import { pace } from './pace.ts'
+import { timings } from './timings.ts'
 
 interface Fields {
   /** Since when there is none; undefined while there is one. */
@@ -13,29 +13,29 @@
   readonly fence: number
   readonly claims: number
   /** Whether what was under way came to nothing, and no claim was seen since. */
-  readonly isHalted: boolean
+  readonly isAborted: boolean
   /** When the same primary came back, and since when it had been away. */
-  readonly backAt: Instant
-  readonly awaySince: Instant | undefined
+  readonly returnedAt: Instant
+  readonly absentSince: Instant | undefined
   /** How long successions take from the loss, and how far they differ from that. */
   readonly meanMs: number
-  readonly spreadMs: number
+  readonly deviationMs: number
 }
 
 /** Until one was seen: doubt, asking and the promotion. */
-const FIRST_MS = pace.doubtMs + pace.askMs + pace.promotionMs
+const INITIAL_MEAN_MS = timings.suspectAfterMs + timings.objectionWaitMs + timings.promotionMs
 /** How much a succession that was seen moves the mean and the spread. */
-const WEIGHT = 0.25
+const SAMPLE_WEIGHT = 0.25
 /** One that was held up for long says little of the next: it counts as so many times the mean at most. */
-const CLIP = 2
+const MAX_SAMPLE_FACTOR = 2
 /** So many spreads after the mean it isn't expected any more. */
-const SPREADS = 2
+const MAX_DEVIATIONS = 2
 /** The next one differs by this part of the mean at least, however alike the last few were: hosts take turns, and a promotion has a time of its own. */
-const LEAST_SPREAD = 0.25
+const MIN_DEVIATION_SHARE = 0.25
 /** A claim is to be seen within this part of the mean; without one nobody is known to act. */
-const CLAIMED_WITHIN = 0.5
+const CLAIM_SHARE = 0.5
 /** The second claim may repeat an order that was lost; a third shows that promotions don't succeed. */
-const MOST_CLAIMS = 2
+const MAX_CLAIMS = 2
 
 /**
  * Immutable; what is seen of a loss and of its succession yields the next value.
@@ -45,20 +45,20 @@
  * successor that nobody is about to make. Nothing here starts or stops a
  * promotion.
  */
-export class Expectation {
+export class FailoverEstimate {
   private constructor (private readonly fields: Fields) {}
 
-  static readonly none = new Expectation({
+  static readonly none = new FailoverEstimate({
     since: undefined,
     countedFrom: -Infinity as Instant,
     claimedAt: -Infinity as Instant,
     fence: 0,
     claims: 0,
-    isHalted: false,
-    backAt: -Infinity as Instant,
-    awaySince: undefined,
-    meanMs: FIRST_MS,
-    spreadMs: FIRST_MS / 2
+    isAborted: false,
+    returnedAt: -Infinity as Instant,
+    absentSince: undefined,
+    meanMs: INITIAL_MEAN_MS,
+    deviationMs: INITIAL_MEAN_MS / 2
   })
 
   /**
@@ -67,58 +67,58 @@
    * beginning of another succession, and statements would wait for it for ever. One that
    * was back for less than a lease lasts goes on being away.
    */
-  lost (now: Instant): Expectation {
-    const { since, awaySince, backAt } = this.fields
+  lost (now: Instant): FailoverEstimate {
+    const { since, absentSince: awaySince, returnedAt: backAt } = this.fields
     if (since !== undefined) return this
-    if (awaySince !== undefined && now - backAt < pace.leaseMs) return this.with({ since: awaySince })
-    return this.with({ since: now, countedFrom: now, claims: 0, isHalted: false, awaySince: undefined })
+    if (awaySince !== undefined && now - backAt < timings.leaseMs) return this.with({ since: awaySince })
+    return this.with({ since: now, countedFrom: now, claims: 0, isAborted: false, absentSince: undefined })
   }
 
   /** The same primary answers again. */
-  back (now: Instant): Expectation {
+  back (now: Instant): FailoverEstimate {
     const { since } = this.fields
-    return since === undefined ? this : this.with({ since: undefined, awaySince: since, backAt: now })
+    return since === undefined ? this : this.with({ since: undefined, absentSince: since, returnedAt: now })
   }
 
   /** Another endpoint leads. A loss that follows the claim is that of an ordered handover, and says nothing of how long a succession takes. */
-  replaced (now: Instant): Expectation {
+  replaced (now: Instant): FailoverEstimate {
     const { since, claimedAt } = this.fields
-    const next = since !== undefined && claimedAt >= since ? this.learn(now - since) : this
-    return next.with({ since: undefined, awaySince: undefined })
+    const next = since !== undefined && claimedAt >= since ? this.withSample(now - since) : this
+    return next.with({ since: undefined, absentSince: undefined })
   }
 
   /** A host claimed the lease of the group under the fence, this one or another; what is heard of it twice counts once. */
-  claimed (fence: number, now: Instant): Expectation {
+  claimed (fence: number, now: Instant): FailoverEstimate {
     if (fence <= this.fields.fence) return this
     const { since, countedFrom, claims, meanMs } = this.fields
-    const earliest = now - meanMs * CLAIMED_WITHIN as Instant
-    const claim = { claimedAt: now, fence, isHalted: false }
+    const earliest = now - meanMs * CLAIM_SHARE as Instant
+    const claim = { claimedAt: now, fence, isAborted: false }
     return since === undefined ? this.with(claim) : this.with({ ...claim, claims: claims + 1, countedFrom: countedFrom < earliest ? earliest : countedFrom })
   }
 
   /** What was under way ends without a promotion: a host reaches the primary, or the store doesn't take what is needed. */
-  halted (): Expectation {
-    return this.with({ isHalted: true })
+  aborted (): FailoverEstimate {
+    return this.with({ isAborted: true })
   }
 
   /** Milliseconds until a primary is expected; undefined when none is, so that whoever needs one is to be refused now. */
-  leftMs (now: Instant): number | undefined {
-    const { since, countedFrom, claimedAt, claims, isHalted, meanMs, spreadMs } = this.fields
-    if (since === undefined || isHalted || claims > MOST_CLAIMS) return undefined
+  remainingMs (now: Instant): number | undefined {
+    const { since, countedFrom, claimedAt, claims, isAborted: isHalted, meanMs, deviationMs: spreadMs } = this.fields
+    if (since === undefined || isHalted || claims > MAX_CLAIMS) return undefined
     const passed = now - countedFrom
-    const isClaimed = now - claimedAt < pace.leaseMs
-    if (!isClaimed && passed > meanMs * CLAIMED_WITHIN) return undefined
-    const latest = meanMs + SPREADS * spreadMs
+    const isClaimed = now - claimedAt < timings.leaseMs
+    if (!isClaimed && passed > meanMs * CLAIM_SHARE) return undefined
+    const latest = meanMs + MAX_DEVIATIONS * spreadMs
     return passed < latest ? Math.max(meanMs - passed, Math.min(spreadMs, latest - passed)) : undefined
   }
 
-  private learn (tookMs: number): Expectation {
-    const { meanMs, spreadMs } = this.fields
-    const seen = Math.min(tookMs, meanMs * CLIP)
-    return this.with({ meanMs: meanMs + WEIGHT * (seen - meanMs), spreadMs: Math.max(meanMs * LEAST_SPREAD, spreadMs + WEIGHT * (Math.abs(seen - meanMs) - spreadMs)) })
+  private withSample (tookMs: number): FailoverEstimate {
+    const { meanMs, deviationMs: spreadMs } = this.fields
+    const seen = Math.min(tookMs, meanMs * MAX_SAMPLE_FACTOR)
+    return this.with({ meanMs: meanMs + SAMPLE_WEIGHT * (seen - meanMs), deviationMs: Math.max(meanMs * MIN_DEVIATION_SHARE, spreadMs + SAMPLE_WEIGHT * (Math.abs(seen - meanMs) - spreadMs)) })
   }
 
-  private with (change: Partial<Fields>): Expectation {
-    return new Expectation({ ...this.fields, ...change })
+  private with (change: Partial<Fields>): FailoverEstimate {
+    return new FailoverEstimate({ ...this.fields, ...change })
   }
 }
--- a/src/core/pool/succession/succession.mix.test.ts
+++ b/src/core/pool/failover/groupfailover.mix.test.ts
@@ -8,9 +8,9 @@
 import type { EndpointStatus } from '../../statement/endpointstatus.ts'
 import { Token } from '../../token.ts'
 import { Lease } from './lease.ts'
-import { Succession } from './succession.ts'
-import type { SuccessionAction } from './successionaction.ts'
-import type { SuccessionEvent } from './successionevent.ts'
+import { GroupFailover } from './groupfailover.ts'
+import type { GroupFailoverAction } from './groupfailoveraction.ts'
+import type { GroupFailoverEvent } from './groupfailoverevent.ts'
 
 const SEEDS = 1000
 const HOSTS = 5
@@ -18,9 +18,9 @@
 const FAULTS_END_MS = 15_000
 const END_MS = 45_000
 /** Silence and a failed connection together. */
-const FAILING_MS = 550
+const FAILURE_DETECTION_MS = 550
 const PROMOTION_MS = 1000
-const CALL_MS = 750
+const CALL_TIMEOUT_MS = 750
 
 interface Endpoint {
   readonly id: EndpointId
@@ -30,12 +30,12 @@
 }
 
 class Host {
-  succession = Succession.create(0 as Instant)
+  failover = GroupFailover.create(0 as Instant)
   lease: Lease | undefined
   leader: EndpointId | undefined
-  lostSince: number | undefined
+  unreachableSince: number | undefined
   isFrozen = false
-  hasStore = true
+  isStoreReachable = true
   readonly unreached = new Set<EndpointId>()
   readonly refusedFences: number[] = []
   readonly orders: number[] = []
@@ -91,32 +91,32 @@
   private tick (host: Host): void {
     if (host.isFrozen) return
     const isLost = host.leader !== undefined && !this.reaches(host, host.leader)
-    host.lostSince = isLost ? host.lostSince ?? this.now : undefined
+    host.unreachableSince = isLost ? host.unreachableSince ?? this.now : undefined
     // A replaced primary refuses, so a host that reaches it doesn't believe in it for long.
     if (host.leader !== undefined && !isLost && host.leader !== this.leader) host.leader = undefined
     this.step(host, { kind: 'tick' })
   }
 
-  step (host: Host, event: SuccessionEvent): void {
+  step (host: Host, event: GroupFailoverEvent): void {
     if (host.isFrozen) return this.after(TICK_MS, () => this.step(host, event))
     const leaving = new Set(this.endpoints.filter(({ isLeaving }) => isLeaving).map(({ id }) => id))
-    const { next, actions } = host.succession.step(event, {
+    const { next, actions } = host.failover.step(event, {
       leader: host.leader,
       leaderlessMs: host.leader === undefined ? 2000 : 0,
-      isLeaving: host.leader !== undefined && host.hasStore && leaving.has(host.leader),
+      isLeaving: host.leader !== undefined && host.isStoreReachable && leaving.has(host.leader),
       isListed: true,
-      isFailing: host.lostSince !== undefined && this.now - host.lostSince >= FAILING_MS,
+      isFailing: host.unreachableSince !== undefined && this.now - host.unreachableSince >= FAILURE_DETECTION_MS,
       leaving,
       catchUpMs: 2000,
       rank: host.rank,
       mayClaim: host.lease?.mayClaim(host.id, this.now as Instant) ?? true,
-      holds: host.lease?.isHeldBy(host.id, this.now as Instant) === true
+      isLeaseHolder: host.lease?.isHeldBy(host.id, this.now as Instant) === true
     }, this.now as Instant)
-    host.succession = next
+    host.failover = next
     for (const action of actions) this.act(host, action)
   }
 
-  private act (host: Host, action: SuccessionAction): void {
+  private act (host: Host, action: GroupFailoverAction): void {
     switch (action.kind) {
       case 'claim': return this.claim(host, action.asksFor)
       case 'confirm': return this.confirm(host, action.fence)
@@ -133,12 +133,12 @@
   }
 
   private confirm (host: Host, fence: number): void {
-    if (!host.hasStore) return this.after(CALL_MS, () => this.step(host, { kind: 'claimLost' }))
+    if (!host.isStoreReachable) return this.after(CALL_TIMEOUT_MS, () => this.step(host, { kind: 'claimLost' }))
     this.after(20, () => this.step(host, this.objections.has(fence) ? { kind: 'objected', fence } : { kind: 'confirmed', fence }))
   }
 
   private claim (host: Host, asksFor: EndpointId | undefined): void {
-    if (!host.hasStore) return this.after(CALL_MS, () => this.step(host, { kind: 'claimLost' }))
+    if (!host.isStoreReachable) return this.after(CALL_TIMEOUT_MS, () => this.step(host, { kind: 'claimLost' }))
     const expected = host.lease?.version ?? 0
     const took = 10 + Math.floor(this.chance() * 60)
     this.after(took, () => {
@@ -152,17 +152,17 @@
   }
 
   private tellLease (host: Host): void {
-    if (!host.hasStore || this.lease === undefined || host.lease?.version === this.lease.version) return
+    if (!host.isStoreReachable || this.lease === undefined || host.lease?.version === this.lease.version) return
     host.lease = Lease.of({ ...this.lease, seenAt: this.now as Instant })
   }
 
   private ask (holder: Host, endpoint: EndpointId, fence: number): void {
     for (const other of this.hosts) {
-      if (other === holder || !other.hasStore || other.isFrozen) continue
+      if (other === holder || !other.isStoreReachable || other.isFrozen) continue
       this.after(100, () => {
-        if (!this.reaches(other, endpoint) || this.leader !== endpoint || !other.hasStore || other.isFrozen) return
+        if (!this.reaches(other, endpoint) || this.leader !== endpoint || !other.isStoreReachable || other.isFrozen) return
         this.objections.add(fence)
-        if (holder.hasStore) this.step(holder, { kind: 'objected', fence })
+        if (holder.isStoreReachable) this.step(holder, { kind: 'objected', fence })
       })
     }
   }
@@ -178,7 +178,7 @@
     })
   }
 
-  private promote (host: Host, { endpoint, fence }: Extract<SuccessionAction, { kind: 'promote' }>): void {
+  private promote (host: Host, { endpoint, fence }: Extract<GroupFailoverAction, { kind: 'promote' }>): void {
     host.orders.push(fence)
     const isLate = this.chance() < 0.2
     const isAnswered = !isLate && this.chance() < 0.8
@@ -187,7 +187,7 @@
       if (outcome === 'refused') host.refusedFences.push(fence)
       if (isAnswered) this.step(host, { kind: 'ordered', outcome })
     })
-    if (!isAnswered) this.after(CALL_MS, () => this.step(host, { kind: 'ordered', outcome: 'unknown' }))
+    if (!isAnswered) this.after(CALL_TIMEOUT_MS, () => this.step(host, { kind: 'ordered', outcome: 'unknown' }))
   }
 
   private execute (endpoint: EndpointId, fence: number): 'done' | 'refused' {
@@ -206,14 +206,14 @@
   /** The directory's word on who leads, to hosts that hear the store. */
   spread (): void {
     for (const host of this.hosts) {
-      if (host.hasStore) host.leader = this.leader
+      if (host.isStoreReachable) host.leader = this.leader
       this.tellLease(host)
     }
   }
 }
 
 /** Cuts, freezes and a dead or leaving primary, over by the end of the faults, but for the primary's death. */
-function trouble (world: World, mayLosePrimary: boolean): void {
+function scheduleFaults (world: World, mayLosePrimary: boolean): void {
   const pick = <T>(list: readonly T[]): T => list[Math.floor(world.chance() * list.length)]!
   const faults = 1 + Math.floor(world.chance() * 4)
   for (let i = 0; i < faults; i++) {
@@ -222,14 +222,14 @@
     const kind = pick(['freeze', 'store', 'cut', 'cut', mayLosePrimary ? 'crash' : 'cut', mayLosePrimary ? 'leave' : 'cut'])
     // One host stays whole, so that somebody reaches the primary and the store.
     const host = pick(world.hosts.slice(1))
-    world.after(at, () => strike(world, kind, host))
-    world.after(at + forMs, () => heal(world, kind, host))
+    world.after(at, () => injectFault(world, kind, host))
+    world.after(at + forMs, () => clearFault(world, kind, host))
   }
 }
 
-function strike (world: World, kind: string, host: Host): void {
+function injectFault (world: World, kind: string, host: Host): void {
   if (kind === 'freeze') host.isFrozen = true
-  if (kind === 'store') host.hasStore = false
+  if (kind === 'store') host.isStoreReachable = false
   if (kind === 'cut') host.unreached.add(world.leader)
   // With the last endpoint nobody is left to lead.
   const isLast = world.endpoints.filter(({ isUp }) => isUp).length < 2
@@ -237,17 +237,17 @@
   if (kind === 'leave') world.endpoint(world.leader).isLeaving = true
 }
 
-function heal (world: World, kind: string, host: Host): void {
+function clearFault (world: World, kind: string, host: Host): void {
   if (kind === 'freeze') host.isFrozen = false
   if (kind === 'cut') host.unreached.clear()
   if (kind !== 'store') return
-  host.hasStore = true
+  host.isStoreReachable = true
   world.spread()
 }
 
-function played (seed: number, mayLosePrimary: boolean): World {
+function simulate (seed: number, mayLosePrimary: boolean): World {
   const world = new World(seed)
-  trouble(world, mayLosePrimary)
+  scheduleFaults(world, mayLosePrimary)
   world.play(END_MS)
   return world
 }
@@ -258,12 +258,12 @@
   it('replace nothing while somebody reaches the primary', () => {
     // Callers lose a second of writes, and commits that no replica has, although the primary is well.
     // Hosts are frozen, cut from the primary or from the store, and one reaches both all the while.
-    expect(seeds.filter(seed => played(seed, false).promotions > 0)).toEqual([])
+    expect(seeds.filter(seed => simulate(seed, false).promotions > 0)).toEqual([])
   })
 
   it('end with a primary that lives and that every host believes in', () => {
     const wrong = seeds.filter(seed => {
-      const world = played(seed, true)
+      const world = simulate(seed, true)
       return !world.endpoint(world.leader).isUp || world.hosts.some(({ leader }) => leader !== world.leader)
     })
     expect(wrong).toEqual([])
@@ -271,7 +271,7 @@
 
   it('never order twice under one fence, nor again under one that was refused', () => {
     const wrong = seeds.filter(seed => {
-      const fences = played(seed, true).hosts.flatMap(({ orders }) => orders)
+      const fences = simulate(seed, true).hosts.flatMap(({ orders }) => orders)
       return new Set(fences).size !== fences.length
     })
     expect(wrong).toEqual([])
--- a/src/core/pool/succession/succession.test.ts
+++ b/src/core/pool/failover/groupfailover.test.ts
@@ -5,22 +5,22 @@
 import type { Instant } from '../../id/instant.ts'
 import type { EndpointStatus } from '../../statement/endpointstatus.ts'
 import { Token } from '../../token.ts'
-import { Succession } from './succession.ts'
-import type { SuccessionAction } from './successionaction.ts'
-import type { SuccessionEvent } from './successionevent.ts'
-import type { SuccessionView } from './successionview.ts'
+import { GroupFailover } from './groupfailover.ts'
+import type { GroupFailoverAction } from './groupfailoveraction.ts'
+import type { GroupFailoverEvent } from './groupfailoverevent.ts'
+import type { GroupFailoverView } from './groupfailoverview.ts'
 
-const WELL: SuccessionView = {
-  leader: 'a' as EndpointId, leaderlessMs: 0, isLeaving: false, catchUpMs: 1000, isListed: true, isFailing: false, leaving: new Set(), rank: 0, mayClaim: true, holds: true
+const HEALTHY: GroupFailoverView = {
+  leader: 'a' as EndpointId, leaderlessMs: 0, isLeaving: false, catchUpMs: 1000, isListed: true, isFailing: false, leaving: new Set(), rank: 0, mayClaim: true, isLeaseHolder: true
 }
 
 /** One succession on a virtual clock, with what it ordered as short texts. */
-class Drive {
+class Harness {
   now = 0
-  view = WELL
-  private succession = Succession.create(0 as Instant)
+  view = HEALTHY
+  private failover = GroupFailover.create(0 as Instant)
 
-  see (change: Partial<SuccessionView>): this {
+  see (change: Partial<GroupFailoverView>): this {
     this.view = { ...this.view, ...change }
     return this
   }
@@ -32,9 +32,9 @@
     return ordered
   }
 
-  step (event: SuccessionEvent): string[] {
-    const { next, actions } = this.succession.step(event, this.view, this.now as Instant)
-    this.succession = next
+  step (event: GroupFailoverEvent): string[] {
+    const { next, actions } = this.failover.step(event, this.view, this.now as Instant)
+    this.failover = next
     return actions.map(textOf)
   }
 
@@ -49,26 +49,26 @@
   }
 }
 
-function textOf (action: SuccessionAction): string {
+function textOf (action: GroupFailoverAction): string {
   switch (action.kind) {
     case 'claim': return `claim ${action.cause}${action.asksFor === undefined ? '' : ' asking'}`
-    case 'promote': return `promote ${action.endpoint} under ${action.fence}${action.handsOver === undefined ? '' : ` for ${action.handsOver}`}`
+    case 'promote': return `promote ${action.endpoint} under ${action.fence}${action.handoverFrom === undefined ? '' : ` for ${action.handoverFrom}`}`
     case 'found': return `found ${action.endpoint}`
     case 'survey': return action.isHandover ? 'survey handover' : 'survey'
     default: return action.kind
   }
 }
 
-function drive (change: Partial<SuccessionView> = {}): Drive {
-  return new Drive().see(change)
+function harness (change: Partial<GroupFailoverView> = {}): Harness {
+  return new Harness().see(change)
 }
 
 describe('a succession', () => {
-  it('leaves a healthy primary alone', () => expect(drive().pass(60_000)).toEqual([]))
+  it('leaves a healthy primary alone', () => expect(harness().pass(60_000)).toEqual([]))
 
   it('replaces a dead primary by the longest log', () => {
     // Writes fail until somebody acts. The primary crashes; probes of this host fail; nobody else reaches it either.
-    const it = drive({ isFailing: true })
+    const it = harness({ isFailing: true })
     expect(it.pass(200)).toEqual(['claim unreached asking'])
     expect(it.step({ kind: 'claimed', fence: 7, tookMs: 10 })).toEqual([])
     expect(it.pass(600)).toEqual(['confirm'])
@@ -80,7 +80,7 @@
   it('leaves a primary alone that another host reaches', () => {
     // Callers lose a second of writes and the last commits, for nothing: this host's link to the
     // primary is cut, the others serve callers there, and this one has it replaced.
-    const it = drive({ isFailing: true })
+    const it = harness({ isFailing: true })
     it.pass(200)
     it.step({ kind: 'claimed', fence: 7, tookMs: 10 })
     it.step({ kind: 'objected', fence: 7 })
@@ -89,7 +89,7 @@
 
   it('gives the others longer to object while the store is slow', () => {
     // A healthy primary is replaced: one host lost it, the others object, but their rows come half a second later than usual.
-    const it = drive({ isFailing: true })
+    const it = harness({ isFailing: true })
     it.pass(200)
     it.step({ kind: 'claimed', fence: 7, tookMs: 250 })
     expect(it.pass(1000)).toEqual([])
@@ -99,7 +99,7 @@
 
   it('takes silence for consent only after it read the objections', () => {
     // A healthy primary is replaced by a host that was frozen while the others objected, or whose feed went silent.
-    const it = drive({ isFailing: true })
+    const it = harness({ isFailing: true })
     it.pass(200)
     it.step({ kind: 'claimed', fence: 7, tookMs: 10 })
     expect(it.pass(600)).toEqual(['confirm'])
@@ -108,7 +108,7 @@
   })
 
   it('takes no objection that was made to an earlier question', () => {
-    const it = drive({ isFailing: true })
+    const it = harness({ isFailing: true })
     it.pass(200)
     it.step({ kind: 'claimed', fence: 7, tookMs: 10 })
     it.step({ kind: 'objected', fence: 5 })
@@ -116,14 +116,14 @@
   })
 
   it('replaces a leaving primary without asking', () => {
-    const it = drive({ isLeaving: true })
+    const it = harness({ isLeaving: true })
     expect(it.pass(100)).toEqual(['claim leaving'])
     expect(it.step({ kind: 'claimed', fence: 3, tookMs: 10 })).toEqual(['survey handover'])
     expect(it.see({ leaving: new Set(['a', 'c'] as EndpointId[]) }).surveyed('b 1:5', 'c 1:9')).toEqual(['promote b under 3'])
   })
 
   it('says that a primary hands over only while it leads', () => {
-    const it = drive({ isLeaving: true })
+    const it = harness({ isLeaving: true })
     it.pass(100)
     it.step({ kind: 'claimed', fence: 3, tookMs: 10 })
     expect(it.surveyed('a 1:9', 'b 1:9')).toEqual(['promote b under 3'])
@@ -132,14 +132,14 @@
   it('waits for a replica that has the whole log of a leaving primary, but not for ever', () => {
     // Seconds of acknowledged rebookings are gone after a planned replacement.
     // The replicas receive nothing for a while; the primary is to leave, and the longest of them is promoted at once.
-    const it = drive({ isLeaving: true })
+    const it = harness({ isLeaving: true })
     it.pass(100)
     it.step({ kind: 'claimed', fence: 3, tookMs: 10 })
     expect(it.surveyed('a 1:9 primary', 'b 1:4')).toEqual([])
     expect(it.pass(400)).toEqual(['claim leaving'])
     it.step({ kind: 'claimed', fence: 4, tookMs: 10 })
     expect(it.surveyed('a 1:12 primary', 'b 1:12')).toEqual(['promote b under 4 for a'])
-    const late = drive({ isLeaving: true })
+    const late = harness({ isLeaving: true })
     late.pass(100)
     late.step({ kind: 'claimed', fence: 3, tookMs: 10 })
     late.surveyed('a 1:9 primary', 'b 1:4')
@@ -149,14 +149,14 @@
   })
 
   it('waits for its rank, and gives way to who was first', () => {
-    const it = drive({ isLeaving: true, rank: 4 })
+    const it = harness({ isLeaving: true, rank: 4 })
     expect(it.pass(200)).toEqual([])
     expect(it.see({ mayClaim: false }).pass(2500)).toEqual([])
     expect(it.see({ leader: 'b' as EndpointId, isLeaving: false }).pass(5000)).toEqual([])
   })
 
   it('finds a primary that the directory does not know of', () => {
-    const it = drive({ leader: undefined, leaderlessMs: 2000 })
+    const it = harness({ leader: undefined, leaderlessMs: 2000 })
     expect(it.pass(100)).toEqual(['claim nobody'])
     expect(it.step({ kind: 'claimed', fence: 3, tookMs: 10 })).toEqual(['survey'])
     expect(it.surveyed('b 2:5 primary', 'c 1:9')).toEqual(['found b'])
@@ -165,7 +165,7 @@
   it('finds the successor by itself while it is cut off from the store', () => {
     // Callers of one host can't write for ten seconds, though the others' callers can again after two.
     // The host is cut off from the store; the primary dies; another host has it replaced; the directory can't tell.
-    const it = drive({ isFailing: true })
+    const it = harness({ isFailing: true })
     it.pass(200)
     expect(it.step({ kind: 'claimLost' })).toEqual(['look'])
     expect(it.surveyed('b 1:5', 'c 1:9')).toEqual([])
@@ -174,7 +174,7 @@
   })
 
   it('drops the matter after a refusal, and takes a new fence for the next choice', () => {
-    const it = drive({ isLeaving: true })
+    const it = harness({ isLeaving: true })
     it.pass(100)
     it.step({ kind: 'claimed', fence: 3, tookMs: 10 })
     it.surveyed('b 1:5')
@@ -184,15 +184,15 @@
 
   it('gives no order once its lease ran out', () => {
     // Two hosts have a primary replaced, one after the other: the first was suspended between its survey and its order.
-    const it = drive({ isLeaving: true })
+    const it = harness({ isLeaving: true })
     it.pass(100)
     it.step({ kind: 'claimed', fence: 3, tookMs: 10 })
-    expect(it.see({ holds: false }).surveyed('b 1:5')).toEqual(['giveUp'])
+    expect(it.see({ isLeaseHolder: false }).surveyed('b 1:5')).toEqual(['giveUp'])
   })
 
   it('orders again, under a higher fence, when an order has no answer', () => {
     // Writes are refused for five seconds after a crash: the order isn't answered, and is carried out seconds later.
-    const it = drive({ isLeaving: true })
+    const it = harness({ isLeaving: true })
     it.pass(100)
     it.step({ kind: 'claimed', fence: 3, tookMs: 10 })
     it.surveyed('b 1:5')
--- a/src/core/pool/succession/succession.ts
+++ b/src/core/pool/failover/groupfailover.ts
@@ -12,10 +12,10 @@
 import type { EndpointId } from '../../id/endpoint.ts'
 import type { Instant } from '../../id/instant.ts'
 import type { EndpointStatus } from '../../statement/endpointstatus.ts'
-import { pace } from './pace.ts'
-import type { SuccessionAction } from './successionaction.ts'
-import type { SuccessionEvent } from './successionevent.ts'
-import type { SuccessionView } from './successionview.ts'
+import { timings } from './timings.ts'
+import type { GroupFailoverAction } from './groupfailoveraction.ts'
+import type { GroupFailoverEvent } from './groupfailoverevent.ts'
+import type { GroupFailoverView } from './groupfailoverview.ts'
 
 type Phase =
   | { readonly kind: 'calm', readonly until: Instant }
@@ -41,47 +41,47 @@
 }
 
 interface Step {
-  readonly next: Succession
-  readonly actions: readonly SuccessionAction[]
+  readonly next: GroupFailover
+  readonly actions: readonly GroupFailoverAction[]
 }
 
 /** The host of the next rank waits so much longer: several times a change in the store and its way to the others. */
-const RANK_MS = 50
+const RANK_DELAY_MS = 50
 /** Beside the time to ask, a host that reaches the primary has so many times what the claim took to say so: the question's way there, the objection and its way back go through the same store, with one to spare. */
-const ASK_CLAIMS = 4
+const OBJECTION_CLAIM_FACTOR = 4
 /** So long without any primary, and the group is surveyed: a successor's report arrives within a tenth of it. */
-const ORPHAN_MS = 1500
+const LEADERLESS_TIMEOUT_MS = 1500
 /** A promotion takes about a second; twice that, and one that was answered has come to nothing. */
-const SETTLE_MS = 2500
+const PROMOTION_TIMEOUT_MS = 2500
 /** After a matter that came to nothing: once what stood in its way may have changed. */
-const REST_MS = 1000
+const COOLDOWN_MS = 1000
 /** Without the lease the endpoints are asked so often who leads, with so long between. */
-const LOOKS = 4
-const LOOK_MS = 300
+const MAX_SEARCHES = 4
+const SEARCH_INTERVAL_MS = 300
 /** An order that was carried out, though its answer was lost, makes a primary of the endpoint in about this time after the wait for the answer. */
-const UNANSWERED_MS = 500
+const UNANSWERED_ORDER_MS = 500
 /** A leaving primary's replicas are asked again after so long; each time costs a change of the lease. */
-const CATCH_UP_MS = 300
+const CATCH_UP_INTERVAL_MS = 300
 /** The platform turned the order away undone; its rate is counted by the second. */
-const AGAIN_MS = 300
+const ORDER_RETRY_MS = 300
 
 /** Immutable; an event yields the next value and what to do. */
-export class Succession {
+export class GroupFailover {
   private constructor (private readonly fields: Fields) {}
 
-  static create (now: Instant): Succession {
-    return new Succession({ phase: { kind: 'calm', until: now }, old: undefined, since: now })
+  static create (now: Instant): GroupFailover {
+    return new GroupFailover({ phase: { kind: 'calm', until: now }, old: undefined, since: now })
   }
 
-  get isCalm (): boolean {
+  get isIdle (): boolean {
     return this.fields.phase.kind === 'calm'
   }
 
-  step (event: SuccessionEvent, view: SuccessionView, now: Instant): Step {
+  step (event: GroupFailoverEvent, view: GroupFailoverView, now: Instant): Step {
     switch (event.kind) {
       case 'tick': return this.tick(view, now)
       case 'claimed': return this.claimed(event, view, now)
-      case 'claimLost': return this.look(LOOKS)
+      case 'claimLost': return this.searchPrimary(MAX_SEARCHES)
       case 'confirmed': return this.confirmed(event.fence)
       case 'objected': return this.objected(event.fence, now)
       case 'surveyed': return this.surveyed(event.statuses, view, now)
@@ -89,26 +89,26 @@
     }
   }
 
-  private tick (view: SuccessionView, now: Instant): Step {
+  private tick (view: GroupFailoverView, now: Instant): Step {
     const { phase, old } = this.fields
     // Whoever replaced it: once another endpoint leads, the matter is over.
     if (phase.kind !== 'calm' && view.leader !== undefined && view.leader !== old && !view.isLeaving) return this.rest(now)
     switch (phase.kind) {
-      case 'calm': return now >= phase.until && causeOf(view) !== undefined ? this.wait(view, now) : this.idle
+      case 'calm': return now >= phase.until && causeOf(view) !== undefined ? this.waitForTurn(view, now) : this.idle
       case 'waiting': return now >= phase.until ? this.claim(view, now) : this.idle
       case 'asking': return now >= phase.until ? this.confirm(phase.fence) : this.idle
-      case 'lookingAgain': return now >= phase.until ? this.look(phase.left) : this.idle
+      case 'lookingAgain': return now >= phase.until ? this.searchPrimary(phase.left) : this.idle
       case 'settling': return now >= phase.until ? this.rest(now) : this.idle
       default: return this.idle
     }
   }
 
-  private wait (view: SuccessionView, now: Instant): Step {
-    return this.to({ kind: 'waiting', until: later(now, view.rank * RANK_MS) }, [], { old: view.leader, since: now }).thenTick(view, now)
+  private waitForTurn (view: GroupFailoverView, now: Instant): Step {
+    return this.to({ kind: 'waiting', until: later(now, view.rank * RANK_DELAY_MS) }, [], { old: view.leader, since: now }).thenTick(view, now)
   }
 
   /** What was wrong may be over by the host's turn. */
-  private claim (view: SuccessionView, now: Instant): Step {
+  private claim (view: GroupFailoverView, now: Instant): Step {
     const cause = causeOf(view)
     if (cause === undefined) return this.rest(now)
     if (!view.mayClaim) return this.idle
@@ -122,21 +122,21 @@
    * misses that a dead primary causes. So the others are asked first, by the
    * lease's row, and one that reaches it objects.
    */
-  private claimed ({ fence, tookMs }: Extract<SuccessionEvent, { kind: 'claimed' }>, view: SuccessionView, now: Instant): Step {
+  private claimed ({ fence, tookMs }: Extract<GroupFailoverEvent, { kind: 'claimed' }>, view: GroupFailoverView, now: Instant): Step {
     if (this.fields.phase.kind !== 'claiming') return this.idle
     const cause = causeOf(view)
     if (cause === undefined) return this.rest(now)
     if (cause === 'leaving' || cause === 'nobody') return this.survey(fence, cause === 'leaving')
-    return this.to({ kind: 'asking', until: later(now, pace.askMs + ASK_CLAIMS * tookMs), fence }, [])
+    return this.to({ kind: 'asking', until: later(now, timings.objectionWaitMs + OBJECTION_CLAIM_FACTOR * tookMs), fence }, [])
   }
 
-  private look (left: number): Step {
+  private searchPrimary (left: number): Step {
     return this.to({ kind: 'looking', left: left - 1 }, [{ kind: 'look', old: this.fields.old }])
   }
 
   /** Another host may be at it: its order takes about a second, which is what the looks cover. */
-  private lookAgain (left: number, now: Instant): Step {
-    return left > 0 ? this.to({ kind: 'lookingAgain', left, until: later(now, LOOK_MS) }, []) : this.rest(now)
+  private searchAgain (left: number, now: Instant): Step {
+    return left > 0 ? this.to({ kind: 'lookingAgain', left, until: later(now, SEARCH_INTERVAL_MS) }, []) : this.rest(now)
   }
 
   private objected (fence: number, now: Instant): Step {
@@ -174,19 +174,19 @@
    * receive nothing for a while, and a promotion takes only what was received.
    * The old primary still serves, so its successor gets time to catch up.
    */
-  private surveyed (statuses: ReadonlyMap<EndpointId, EndpointStatus>, view: SuccessionView, now: Instant): Step {
+  private surveyed (statuses: ReadonlyMap<EndpointId, EndpointStatus>, view: GroupFailoverView, now: Instant): Step {
     const { phase, old, since } = this.fields
     if (phase.kind !== 'surveying' && phase.kind !== 'looking') return this.idle
     const leading = [...statuses].find(([id, { isPrimary }]) => isPrimary && id !== old)
     if (leading !== undefined) return this.rest(now, [{ kind: 'found', endpoint: leading[0], term: leading[1].term }])
-    if (phase.kind === 'looking') return this.lookAgain(phase.left, now)
-    const endpoint = longest(statuses, old, view)
-    if (endpoint === undefined || !view.holds) return this.rest(now, [{ kind: 'giveUp' }])
+    if (phase.kind === 'looking') return this.searchAgain(phase.left, now)
+    const endpoint = longestLog(statuses, old, view)
+    if (endpoint === undefined || !view.isLeaseHolder) return this.rest(now, [{ kind: 'giveUp' }])
     const leaver = old === undefined ? undefined : statuses.get(old)
     const isBehind = leaver?.received.isAfter(statuses.get(endpoint)!.received) === true
-    if (isBehind && now - since < view.catchUpMs) return this.to({ kind: 'waiting', until: later(now, CATCH_UP_MS) }, [])
+    if (isBehind && now - since < view.catchUpMs) return this.to({ kind: 'waiting', until: later(now, CATCH_UP_INTERVAL_MS) }, [])
     const handsOver = leaver?.isPrimary === true ? old : undefined
-    return this.to({ kind: 'ordering', fence: phase.fence, endpoint }, [{ kind: 'promote', endpoint, fence: phase.fence, handsOver }])
+    return this.to({ kind: 'ordering', fence: phase.fence, endpoint }, [{ kind: 'promote', endpoint, fence: phase.fence, handoverFrom: handsOver }])
   }
 
   /**
@@ -202,35 +202,35 @@
     const { phase } = this.fields
     if (phase.kind !== 'ordering') return this.idle
     if (outcome === 'refused') return this.rest(now, [{ kind: 'giveUp' }])
-    if (outcome === 'notDone') return this.to({ kind: 'waiting', until: later(now, AGAIN_MS) }, [])
-    if (outcome === 'unknown') return this.to({ kind: 'waiting', until: later(now, UNANSWERED_MS) }, [])
-    return this.to({ kind: 'settling', until: later(now, SETTLE_MS), endpoint: phase.endpoint }, [])
+    if (outcome === 'notDone') return this.to({ kind: 'waiting', until: later(now, ORDER_RETRY_MS) }, [])
+    if (outcome === 'unknown') return this.to({ kind: 'waiting', until: later(now, UNANSWERED_ORDER_MS) }, [])
+    return this.to({ kind: 'settling', until: later(now, PROMOTION_TIMEOUT_MS), endpoint: phase.endpoint }, [])
   }
 
-  private rest (now: Instant, actions: readonly SuccessionAction[] = []): Step {
-    return this.to({ kind: 'calm', until: later(now, REST_MS) }, actions)
+  private rest (now: Instant, actions: readonly GroupFailoverAction[] = []): Step {
+    return this.to({ kind: 'calm', until: later(now, COOLDOWN_MS) }, actions)
   }
 
   private get idle (): Step {
     return { next: this, actions: [] }
   }
 
-  private to (phase: Phase, actions: readonly SuccessionAction[], change: Partial<Fields> = {}): Step & { thenTick: (view: SuccessionView, now: Instant) => Step } {
-    const next = new Succession({ ...this.fields, ...change, phase })
+  private to (phase: Phase, actions: readonly GroupFailoverAction[], change: Partial<Fields> = {}): Step & { thenTick: (view: GroupFailoverView, now: Instant) => Step } {
+    const next = new GroupFailover({ ...this.fields, ...change, phase })
     return { next, actions, thenTick: (view, now) => next.tick(view, now) }
   }
 }
 
 /** Why the group needs another primary; undefined when it doesn't. */
-function causeOf ({ leader, isLeaving, isListed, isFailing, leaderlessMs }: SuccessionView): 'leaving' | 'gone' | 'unreached' | 'nobody' | undefined {
-  if (leader === undefined) return leaderlessMs >= ORPHAN_MS ? 'nobody' : undefined
+function causeOf ({ leader, isLeaving, isListed, isFailing, leaderlessMs }: GroupFailoverView): 'leaving' | 'gone' | 'unreached' | 'nobody' | undefined {
+  if (leader === undefined) return leaderlessMs >= LEADERLESS_TIMEOUT_MS ? 'nobody' : undefined
   if (isLeaving) return 'leaving'
   if (!isFailing) return undefined
   return isListed ? 'unreached' : 'gone'
 }
 
 /** The replica with the longest log: the others would be cut back to what it has. One that leaves is the last choice. */
-function longest (statuses: ReadonlyMap<EndpointId, EndpointStatus>, old: EndpointId | undefined, view: SuccessionView): EndpointId | undefined {
+function longestLog (statuses: ReadonlyMap<EndpointId, EndpointStatus>, old: EndpointId | undefined, view: GroupFailoverView): EndpointId | undefined {
   const candidates = [...statuses].filter(([id]) => id !== old)
   const staying = candidates.filter(([id]) => !view.leaving.has(id))
   const [first, ...rest] = staying.length > 0 ? staying : candidates
--- a/src/core/pool/succession/successionaction.ts
+++ b/src/core/pool/failover/groupfailoveraction.ts
@@ -2,7 +2,7 @@
 
 import type { EndpointId } from '../../id/endpoint.ts'
 
-export type SuccessionAction =
+export type GroupFailoverAction =
   /** Take the lease; `asksFor`: ask the other hosts whether they reach this primary. */
   | { readonly kind: 'claim', readonly cause: 'leaving' | 'gone' | 'unreached' | 'nobody', readonly asksFor: EndpointId | undefined }
   /** Read from the store whether any host objected under the fence. */
@@ -12,7 +12,7 @@
   /** Ask the same without stopping anything: only whether one of them leads. */
   | { readonly kind: 'look', readonly old: EndpointId | undefined }
   /** `handsOver`: the old primary, where it leaves in order and commits until the order takes effect. */
-  | { readonly kind: 'promote', readonly endpoint: EndpointId, readonly fence: number, readonly handsOver: EndpointId | undefined }
+  | { readonly kind: 'promote', readonly endpoint: EndpointId, readonly fence: number, readonly handoverFrom: EndpointId | undefined }
   /** The survey found a primary. */
   | { readonly kind: 'found', readonly endpoint: EndpointId, readonly term: number }
   /** No promotion follows; what was stopped for it goes on. */
--- a/src/core/pool/succession/successionevent.ts
+++ b/src/core/pool/failover/groupfailoverevent.ts
@@ -3,7 +3,7 @@
 import type { EndpointId } from '../../id/endpoint.ts'
 import type { EndpointStatus } from '../../statement/endpointstatus.ts'
 
-export type SuccessionEvent =
+export type GroupFailoverEvent =
   | { readonly kind: 'tick' }
   /** The store gave the lease, under a fence, after so many milliseconds. */
   | { readonly kind: 'claimed', readonly fence: number, readonly tookMs: number }
--- a/src/core/pool/succession/successionview.ts
+++ b/src/core/pool/failover/groupfailoverview.ts
@@ -2,7 +2,7 @@
 
 import type { EndpointId } from '../../id/endpoint.ts'
 
-export interface SuccessionView {
+export interface GroupFailoverView {
   /** The endpoint that is taken for the primary. */
   readonly leader: EndpointId | undefined
   /** Milliseconds without one. */
@@ -21,5 +21,5 @@
   readonly rank: number
   /** Whether the lease may be claimed, and whether this host holds it. */
   readonly mayClaim: boolean
-  readonly holds: boolean
+  readonly isLeaseHolder: boolean
 }
--- a/src/core/pool/succession/handover.test.ts
+++ b/src/core/pool/failover/handover.test.ts
@@ -12,4 +12,4 @@
   ['the successor lacks it', { term: 1, isPrimary: false, received: Token.of(1, 8) }, 'missing'],
   ['the successor leads already, and its own commits hide what it lacks', { term: 2, isPrimary: true, received: Token.of(2, 9) }, 'unknown'],
   ['another endpoint leads a newer term', { term: 2, isPrimary: false, received: Token.of(2, 10) }, 'unknown']
-])('%s', (_name, status, fate) => expect(Handover.fateOf(COMMIT, status)).toBe(fate))
+])('%s', (_name, status, fate) => expect(Handover.receiptOf(COMMIT, status)).toBe(fate))
--- a/src/core/pool/succession/handover.ts
+++ b/src/core/pool/failover/handover.ts
@@ -30,7 +30,7 @@
   }
 
   /** Whether what the endpoint commits is in danger. */
-  concerns (endpoint: EndpointId): boolean {
+  affects (endpoint: EndpointId): boolean {
     return endpoint === this.fields.old
   }
 
@@ -38,7 +38,7 @@
    * What the successor's word on itself says of a commit: it will lead with
    * it, it lacks it still, or nothing can be told, since it leads already or follows a newer term.
    */
-  static fateOf (commit: Token, { term, isPrimary, received }: EndpointStatus): 'received' | 'missing' | 'unknown' {
+  static receiptOf (commit: Token, { term, isPrimary, received }: EndpointStatus): 'received' | 'missing' | 'unknown' {
     if (isPrimary || term > commit.term) return 'unknown'
     return commit.isAfter(received) ? 'missing' : 'received'
   }
--- a/src/core/pool/succession/leadership.test.ts
+++ b/src/core/pool/failover/leadership.test.ts
@@ -11,8 +11,8 @@
 const GROUP = 'g' as GroupId
 
 /** Plays texts as `leader` does, one a millisecond; how long nobody has led at the time. */
-function missingMs (now: number, ...texts: string[]): number {
-  return play(texts).missingMs(now as Instant)
+function leaderlessMs (now: number, ...texts: string[]): number {
+  return play(texts).leaderlessMs(now as Instant)
 }
 
 function leader (...texts: string[]): EndpointId | undefined {
@@ -31,7 +31,7 @@
     else if (sign === '=') leadership = leadership.proved(id, Number(term))
     else {
       directory = sign === '.' ? directory.without(id) : directory.with({ id, group: GROUP, address: { ip: '10.0.0.1', port: 1 }, dataCentre: 'z' as DataCentreId, isLeaving: false, isPrimary: sign === '+', startedAtMs: Number(term ?? 1) }, i + 1)
-      leadership = leadership.listed(before, directory)
+      leadership = leadership.directoryChanged(before, directory)
     }
   })
   return leadership
@@ -44,7 +44,7 @@
     ['there is one', ['a+'], 1000, 0],
     ['since it refused', ['a+', 'b-', 'a!'], 1002, 1000],
     ['other entries change meanwhile', ['a+', 'b-', 'a!', 'c-', 'b.'], 1002, 1000]
-  ])('%s', (_, texts, now, expected) => expect(missingMs(now, ...texts)).toBe(expected))
+  ])('%s', (_, texts, now, expected) => expect(leaderlessMs(now, ...texts)).toBe(expected))
 })
 
 describe('the leader', () => {
--- a/src/core/pool/succession/lease.ts
+++ b/src/core/pool/failover/lease.ts
@@ -3,7 +3,7 @@
 import type { EndpointId } from '../../id/endpoint.ts'
 import type { HostId } from '../../id/host.ts'
 import type { Instant } from '../../id/instant.ts'
-import { pace } from './pace.ts'
+import { timings } from './timings.ts'
 
 interface Fields {
   readonly holder: HostId
@@ -38,11 +38,11 @@
    * process's own clock from when it saw the row, so no two clocks are compared.
    */
   mayClaim (host: HostId, now: Instant): boolean {
-    return this.holder === host || now - this.seenAt >= pace.leaseMs
+    return this.holder === host || now - this.seenAt >= timings.leaseMs
   }
 
   /** Whether its holder may still give orders; the fence shuts out those that come later nevertheless. */
   isHeldBy (host: HostId, now: Instant): boolean {
-    return this.holder === host && now - this.seenAt < pace.leaseMs
+    return this.holder === host && now - this.seenAt < timings.leaseMs
   }
 }
--- a/src/core/pool/succession/contact.test.ts
+++ b/src/core/pool/failover/reachability.test.ts
@@ -2,15 +2,15 @@
 
 import { describe, expect, it } from 'vitest'
 import type { Instant } from '../../id/instant.ts'
-import { Contact } from './contact.ts'
+import { Reachability } from './reachability.ts'
 
 /** Plays texts such as `?0` (asked at 0), `+100` (reached) and `-200` (missed). */
-function contact (...texts: string[]): Contact {
+function reachability (...texts: string[]): Reachability {
   return texts.reduce((sum, text) => {
     const now = Number(text.slice(1)) as Instant
     if (text[0] === '?') return sum.asked(now)
-    return text[0] === '+' ? sum.reached(now) : sum.missed(now)
-  }, Contact.none)
+    return text[0] === '+' ? sum.reached(now) : sum.failed(now)
+  }, Reachability.none)
 }
 
 describe('a contact', () => {
@@ -26,7 +26,7 @@
     ['broke off twice, long ago', ['-0', '-10'], 510, true, false],
     ['answers again', ['-0', '-10', '+20'], 20, false, false]
   ])('%s', (_, texts, now, isDoubtful, isOut) => {
-    const made = contact(...texts)
-    expect([made.isDoubtful(now as Instant), made.isOut(now as Instant)]).toEqual([isDoubtful, isOut])
+    const made = reachability(...texts)
+    expect([made.isSuspect(now as Instant), made.isUnreachable(now as Instant)]).toEqual([isDoubtful, isOut])
   })
 })
--- a/src/core/pool/succession/pace.ts
+++ b/src/core/pool/failover/timings.ts
@@ -1,13 +1,13 @@
 /** How long the steps of a succession take, as far as more than one part of it goes by that. Milliseconds. */
 
-export const pace = {
+export const timings = {
   /**
    * So long without any answer is doubtful: about twice what the longest statement
    * takes at a slow endpoint. A wrong doubt costs one connection, to find out.
    */
-  doubtMs: 250,
+  suspectAfterMs: 250,
   /** A host that reaches the primary has so long to say so: a new connection and a question take a tenth of a second at a slow endpoint. */
-  askMs: 200,
+  objectionWaitMs: 200,
   /** From the order until the successor leads and says so. */
   promotionMs: 1000,
   /**
--- a/src/core/pool/membership/roll.test.ts
+++ b/src/core/pool/membership/hostregistry.test.ts
@@ -5,8 +5,8 @@
 import type { HostId } from '../../id/host.ts'
 import type { Instant } from '../../id/instant.ts'
 import type { HostEntry } from './hostentry.ts'
-import { Roll } from './roll.ts'
-import { rollRow } from './rollrow.ts'
+import { HostRegistry } from './hostregistry.ts'
+import { registryRow } from './registryrow.ts'
 
 /** `a2` is the host a in its incarnation 2; `a2!` leaves. */
 function entry (text: string): HostEntry {
@@ -14,15 +14,15 @@
 }
 
 /** Rows as `WRITER@INSTANT: HOSTS`. */
-function rollOf (...rows: string[]): Roll {
+function registryOf (...rows: string[]): HostRegistry {
   return rows.reduce((roll, row, i) => {
     const [, writer, at, hosts] = /^(\w+)@(\d+): ?(.*)$/.exec(row)!
     return roll.with(writer as HostId, hosts!.split(' ').filter(one => one !== '').map(entry), i + 1, Number(at) as Instant)
-  }, Roll.empty)
+  }, HostRegistry.empty)
 }
 
 function alive (now: number, ...rows: string[]): string {
-  return rollOf(...rows).alive(now as Instant).map(({ id }) => id).sort().join('')
+  return registryOf(...rows).alive(now as Instant).map(({ id }) => id).sort().join('')
 }
 
 it.each<[string, number, string[], string]>([
@@ -45,14 +45,14 @@
     ['nor when it heard of a later life', 'a2', 'y', 0, false],
     ['nor when it heard that the host leaves', 'a1!', 'y', 0, false]
   ])('%s', (_, host, reader, now, expected) => {
-    expect(rollOf('x@0: a1').isNamed(entry(host), reader as HostId, now as Instant)).toBe(expected)
+    expect(registryOf('x@0: a1').isListedByOther(entry(host), reader as HostId, now as Instant)).toBe(expected)
   })
 })
 
 describe('a row of the roll', () => {
   const host: HostEntry = { id: 'a' as HostId, dataCentre: 'z' as DataCentreId, address: { ip: '10.0.0.1', port: 1 }, linkPort: 2, incarnation: 3, isLeaving: false }
 
-  it.each<[string, HostEntry]>([['with a capacity', { ...host, capacity: 0.3 }], ['without', host]])('reads as it was written, %s', (_, entry) => expect(rollRow.decode(rollRow.encode([entry]))).toEqual([entry]))
+  it.each<[string, HostEntry]>([['with a capacity', { ...host, capacity: 0.3 }], ['without', host]])('reads as it was written, %s', (_, entry) => expect(registryRow.decode(registryRow.encode([entry]))).toEqual([entry]))
 
-  it('of an earlier program tells no capacity', () => expect(rollRow.decode('[["a","z","10.0.0.1",1,2,3,false]]')).toEqual([host]))
+  it('of an earlier program tells no capacity', () => expect(registryRow.decode('[["a","z","10.0.0.1",1,2,3,false]]')).toEqual([host]))
 })
--- a/src/core/pool/membership/roll.ts
+++ b/src/core/pool/membership/hostregistry.ts
@@ -4,7 +4,7 @@
 import type { Instant } from '../../id/instant.ts'
 import type { HostEntry } from './hostentry.ts'
 
-interface Seen {
+interface SeenRow {
   readonly entries: readonly HostEntry[]
   readonly version: number
   /** When this process first saw the row in this version. */
@@ -12,30 +12,30 @@
 }
 
 /** A row is written again after so long: hosts change a few times a day, and each writing is a call to the store and wakes those that follow it. Milliseconds. */
-const RENEW_MS = 20_000
+const RENEWAL_MS = 20_000
 /** A row counts for three renewals, so that a store that is away for one takes nobody out. */
-const ALIVE_MS = 3 * RENEW_MS
+const ROW_TTL_MS = 3 * RENEWAL_MS
 /** A row that was not renewed in time is no reason any more to leave a host out of one's own. */
-const DUE_MS = 1.5 * RENEW_MS
+const OVERDUE_MS = 1.5 * RENEWAL_MS
 /** After so long nobody misses a row. */
-const LAPSED_MS = 3 * ALIVE_MS
+const DELETION_MS = 3 * ROW_TTL_MS
 
 /** Immutable; rows yield the next value. */
-export class Roll {
-  static readonly renewMs = RENEW_MS
-  static readonly aliveMs = ALIVE_MS
-  static readonly empty = new Roll(new Map())
+export class HostRegistry {
+  static readonly renewalMs = RENEWAL_MS
+  static readonly rowTtlMs = ROW_TTL_MS
+  static readonly empty = new HostRegistry(new Map())
 
-  private constructor (private readonly seen: ReadonlyMap<HostId, Seen>) {}
+  private constructor (private readonly seen: ReadonlyMap<HostId, SeenRow>) {}
 
   /** The row of a host that hears others. */
-  with (writer: HostId, entries: readonly HostEntry[], version: number, now: Instant): Roll {
+  with (writer: HostId, entries: readonly HostEntry[], version: number, now: Instant): HostRegistry {
     if (this.seen.get(writer)?.version === version) return this
-    return new Roll(new Map([...this.seen, [writer, { entries, version, at: now }]]))
+    return new HostRegistry(new Map([...this.seen, [writer, { entries, version, at: now }]]))
   }
 
-  without (writer: HostId): Roll {
-    return new Roll(new Map([...this.seen].filter(([id]) => id !== writer)))
+  without (writer: HostId): HostRegistry {
+    return new HostRegistry(new Map([...this.seen].filter(([id]) => id !== writer)))
   }
 
   /**
@@ -50,20 +50,20 @@
    * Whether another host's row says as much of the host, and will go on: of two that hear the
    * same, the one whose id comes first writes, so that one row is renewed and not two.
    */
-  isNamed ({ id, incarnation, isLeaving }: HostEntry, reader: HostId, now: Instant): boolean {
+  isListedByOther ({ id, incarnation, isLeaving }: HostEntry, reader: HostId, now: Instant): boolean {
     const says = (one: HostEntry) => one.id === id && one.incarnation >= incarnation && (one.isLeaving || !isLeaving)
-    return [...this.seen].some(([writer, { entries, at }]) => writer < reader && now - at < DUE_MS && entries.some(says))
+    return [...this.seen].some(([writer, { entries, at }]) => writer < reader && now - at < OVERDUE_MS && entries.some(says))
   }
 
   /** Writers whose rows nobody needs any more. */
-  lapsed (now: Instant): readonly HostId[] {
-    return [...this.seen].filter(([, { at }]) => now - at >= LAPSED_MS).map(([id]) => id)
+  expiredWriters (now: Instant): readonly HostId[] {
+    return [...this.seen].filter(([, { at }]) => now - at >= DELETION_MS).map(([id]) => id)
   }
 
   /** The newest word on each host that a row names which counts. */
   entries (now: Instant): ReadonlyMap<HostId, HostEntry> {
     const newest = new Map<HostId, HostEntry>()
-    const counting = [...this.seen.values()].filter(({ at }) => now - at < ALIVE_MS)
+    const counting = [...this.seen.values()].filter(({ at }) => now - at < ROW_TTL_MS)
     for (const entry of counting.flatMap(({ entries }) => entries)) {
       const other = newest.get(entry.id)
       if (other === undefined || isNewer(entry, other)) newest.set(entry.id, entry)
--- a/src/core/pool/membership/lateness.ts
+++ b/src/core/pool/membership/lateness.ts
@@ -1,7 +1,7 @@
 /** What the store owes a host. */
 
 import type { Instant } from '../../id/instant.ts'
-import type { ControlState } from './controlstate.ts'
+import type { SyncState } from './syncstate.ts'
 
 interface Lateness {
   /** An answer to this host or to one that it hears. */
@@ -11,10 +11,10 @@
 }
 
 /** Tables whose rows are to be known within a bound. */
-const BOUNDED = ['config', 'endpoints'] as const
+const BOUNDED_TABLES = ['config', 'endpoints'] as const
 
 /** In milliseconds: nothing while questions are answered in time. */
-export function latenessOf ({ questions, pace, links }: Pick<ControlState, 'questions' | 'pace' | 'links'>, now: Instant): Lateness {
-  const ownLateMs = Math.max(...BOUNDED.map(table => questions[table].lateMs(pace.waitMs[table], now)))
+export function latenessOf ({ questions, pace, links }: Pick<SyncState, 'questions' | 'pace' | 'links'>, now: Instant): Lateness {
+  const ownLateMs = Math.max(...BOUNDED_TABLES.map(table => questions[table].lateMs(pace.longPollMs[table], now)))
   return { ownLateMs, lateMs: Math.min(ownLateMs, links.latenessMs(now)) }
 }
--- a/src/core/pool/membership/linkof.ts
+++ b/src/core/pool/membership/linkof.ts
@@ -2,11 +2,11 @@
 
 import type { LinkId } from './linkid.ts'
 
-interface Linked {
+interface LinkAddress {
   readonly address: { readonly ip: string }
   readonly linkPort: number
 }
 
-export function linkOf ({ address, linkPort }: Linked): LinkId {
+export function linkOf ({ address, linkPort }: LinkAddress): LinkId {
   return `${address.ip}:${linkPort}` as LinkId
 }
--- a/src/core/pool/membership/ranking.ts
+++ b/src/core/pool/membership/readerranking.ts
@@ -9,24 +9,24 @@
  * The hosts of a data centre in the order in which they ask the store for the others, by rendezvous
  * hashing: every host works out the same order from the same roll, without a vote, and a host that comes or goes moves no other.
  */
-export class Ranking {
+export class ReaderRanking {
   private constructor (
     /** All that are alive. */
     readonly hosts: readonly HostEntry[],
     /** Of this data centre, the first to ask the store first. */
-    readonly near: readonly HostEntry[],
+    readonly local: readonly HostEntry[],
     /** Of the others: the first of each, the second of each, and so on, beginning with another data centre from host to host. */
-    readonly far: readonly HostEntry[]
+    readonly remote: readonly HostEntry[]
   ) {}
 
-  static of (hosts: readonly HostEntry[], self: HostEntry): Ranking {
+  static of (hosts: readonly HostEntry[], self: HostEntry): ReaderRanking {
     const centres = [...new Set(hosts.map(({ dataCentre }) => dataCentre))].filter(id => id !== self.dataCentre)
     const others = byWeight(centres, id => `${self.id}/${id}`).map(id => readersOf(hosts, id))
-    return new Ranking([...hosts].sort((a, b) => a.id < b.id ? -1 : 1), readersOf(hosts, self.dataCentre), interleave(others))
+    return new ReaderRanking([...hosts].sort((a, b) => a.id < b.id ? -1 : 1), readersOf(hosts, self.dataCentre), interleave(others))
   }
 
   /** Whether the other one names the same hosts at the same places. */
-  equals (other: Ranking): boolean {
+  equals (other: ReaderRanking): boolean {
     const { hosts } = other
     return hosts.length === this.hosts.length && this.hosts.every((host, i) => isSame(host, hosts[i]!))
   }
--- /dev/null
+++ b/src/core/pool/membership/readiness.test.ts
@@ -0,0 +1,35 @@
+/** What a host must know before it serves. */
+
+import { expect, it } from 'vitest'
+import type { Instant } from '../../id/instant.ts'
+import type { SyncState } from './syncstate.ts'
+import { isReady } from './readiness.ts'
+import { StoreQuery } from './storequery.ts'
+import { ReplicatedTable } from './replicatedtable.ts'
+import { tableNames } from './tablenames.ts'
+
+type Known = Readonly<Partial<Record<typeof tableNames[number], boolean>>>
+
+/** All tables were asked for at 0, and the configuration was answered at `tookMs`. */
+function stateOf (known: Known, tookMs = 5, isAsked = true): Pick<SyncState, 'tables' | 'questions'> {
+  const entries = <T>(of: (name: typeof tableNames[number]) => T) => Object.fromEntries(tableNames.map(name => [name, of(name)])) as Record<typeof tableNames[number], T>
+  const asked = isAsked ? StoreQuery.none.sent(0 as Instant) : StoreQuery.none
+  return {
+    tables: entries(name => known[name] === true ? ReplicatedTable.empty.applySnapshot([], 1).next : ReplicatedTable.empty),
+    questions: entries(name => name === 'config' && known.config === true ? StoreQuery.none.sent(0 as Instant).answered(tookMs as Instant) : asked)
+  }
+}
+
+const REQUIRED: Known = { config: true, endpoints: true }
+
+it.each<[string, ReturnType<typeof stateOf>, number, boolean]>([
+  ['everything', stateOf({ ...REQUIRED, shared: true, roll: true }), 6, true],
+  ['nothing', stateOf({}), 10_000, false],
+  ['no configuration', stateOf({ endpoints: true, shared: true, roll: true }), 10_000, false],
+  ['no endpoints', stateOf({ config: true, shared: true, roll: true }), 10_000, false],
+  ['the roll a moment late', stateOf({ ...REQUIRED, shared: true }), 49, false],
+  ['the roll kept silent', stateOf({ ...REQUIRED, shared: true }), 51, true],
+  ['the roll as late as a slow store is with all', stateOf({ ...REQUIRED, shared: true }, 240), 480, false],
+  ['the roll later than a slow store is with all', stateOf({ ...REQUIRED, shared: true }, 240), 481, true],
+  ['tables that another host is about to tell', stateOf(REQUIRED, 5, false), 10_000, false]
+])('%s', (_name, state, now, expected) => expect(isReady(state, now as Instant)).toBe(expected))
--- a/src/core/pool/membership/rollrow.ts
+++ b/src/core/pool/membership/registryrow.ts
@@ -6,15 +6,15 @@
 import type { HostId } from '../../id/host.ts'
 import type { HostEntry } from './hostentry.ts'
 
-const PREFIX = 'hosts/'
+const KEY_PREFIX = 'hosts/'
 /** In a list, since a row has all hosts of a data centre: id, data centre, address, port for sessions, port for links, incarnation, whether it leaves, and its capacity, which hosts that don't know theirs leave out. */
 const shape = z.array(z.tuple([z.string(), z.string(), z.string(), z.int(), z.int(), z.int(), z.boolean(), z.number().positive().optional()]))
 
-export const rollRow = {
-  keyOf: (writer: HostId): string => `${PREFIX}${writer}`,
+export const registryRow = {
+  keyOf: (writer: HostId): string => `${KEY_PREFIX}${writer}`,
 
   /** The host that wrote the row; undefined for a row of another kind. */
-  writerOf: (key: string): HostId | undefined => key.startsWith(PREFIX) ? key.slice(PREFIX.length) as HostId : undefined,
+  writerOf: (key: string): HostId | undefined => key.startsWith(KEY_PREFIX) ? key.slice(KEY_PREFIX.length) as HostId : undefined,
 
   encode: (entries: readonly HostEntry[]): string =>
     JSON.stringify(entries.map(({ id, dataCentre, address: { ip, port }, linkPort, incarnation, isLeaving, capacity }) => [id, dataCentre, ip, port, linkPort, incarnation, isLeaving, ...capacity === undefined ? [] : [capacity]])),
--- a/src/core/pool/membership/table.test.ts
+++ b/src/core/pool/membership/replicatedtable.test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, it } from 'vitest'
 import type { Row } from './row.ts'
-import { Table } from './table.ts'
+import { ReplicatedTable } from './replicatedtable.ts'
 
 /** `a3` is the row a in version 3, `-a3` its end. */
 function rows (text: string): readonly Row[] {
@@ -15,18 +15,18 @@
 
 /** Steps as `whole@VERSION ROWS` or `changed@VERSION ROWS`; what the last one brought, and what is there then. */
 function after (...steps: string[]): string {
-  let table = Table.empty
+  let table = ReplicatedTable.empty
   let last: readonly Row[] = []
   for (const step of steps) {
     const [, kind, version, text] = /^(\w+)@(\d+) ?(.*)$/.exec(step)!
-    const { next, news } = kind === 'whole' ? table.whole(rows(text!), Number(version)) : table.changed(rows(text!), Number(version))
+    const { next, changedRows: news } = kind === 'whole' ? table.applySnapshot(rows(text!), Number(version)) : table.applyChanges(rows(text!), Number(version))
     table = next
     last = news
   }
-  return `${shown(last)} of ${shown(table.rows)} at ${table.version}`
+  return `${format(last)} of ${format(table.rows)} at ${table.version}`
 }
 
-function shown (all: readonly Row[]): string {
+function format (all: readonly Row[]): string {
   return all.map(({ key, version, value }) => `${value === undefined ? '-' : ''}${key}${version}`).sort().join(' ')
 }
 
@@ -43,14 +43,14 @@
 ])('%s', (_, steps, expected) => expect(after(...steps)).toBe(expected))
 
 describe('what is told to a host that is behind', () => {
-  const table = Table.empty.whole(rows('a3 b4'), 5).next.changed(rows('-a6'), 7).next
+  const table = ReplicatedTable.empty.applySnapshot(rows('a3 b4'), 5).next.applyChanges(rows('-a6'), 7).next
 
-  it('is what changed after its version', () => expect(shown(table.since(5)!)).toBe('-a6'))
-  it('is all that ever came, for one that knows nothing', () => expect(shown(table.since(0)!)).toBe('-a6 b4'))
+  it('is what changed after its version', () => expect(format(table.since(5)!)).toBe('-a6'))
+  it('is all that ever came, for one that knows nothing', () => expect(format(table.since(0)!)).toBe('-a6 b4'))
 
   it('is everything when the ends that it missed are forgotten', () => {
     const many = Array.from({ length: 1100 }, (_, i) => ({ key: `k${i}`, value: undefined, version: 10 + i }))
-    const long = table.changed(many, 2000).next
+    const long = table.applyChanges(many, 2000).next
     expect([long.since(7), long.since(500)?.length]).toEqual([undefined, 609])
   })
 })
--- a/src/core/pool/membership/wanted.ts
+++ b/src/core/pool/membership/sourceselection.ts
@@ -1,25 +1,25 @@
 /** Which hosts this one is to hear from, and whether others are to hear from it. */
 
 import type { Instant } from '../../id/instant.ts'
-import type { ControlState } from './controlstate.ts'
+import type { SyncState } from './syncstate.ts'
 import type { HostEntry } from './hostentry.ts'
 import type { LinkId } from './linkid.ts'
 import { linkOf } from './linkof.ts'
 
-interface Wanted {
+interface SourceSelection {
   readonly links: readonly LinkId[]
   /** Whether this host asks the store for all. */
   readonly isReader: boolean
 }
 
 /** Two hosts of each data centre ask the store: when one ends, the other tells those that are left. */
-const READERS = 2
+const READERS_PER_DATA_CENTRE = 2
 /** Failures in a row after which a host leaves the asking to the next: one may be a lost answer. */
-const FAILURES = 2
+const MAX_FAILURES = 2
 /** Where no other host is known all start at once, and one that wasn't there yet is tried again so soon. */
-const SEED_MS = 200
+const SEED_RETRY_MS = 200
 /** The roll is the first thing a process asks for; hosts that the settings name are taken only where it stays unknown for so long, or is empty. */
-const ROLL_MS = 300
+const REGISTRY_WAIT_MS = 300
 
 /**
  * The first hosts of the ranking ask the store, and all others hear from them. They hear from those of other data centres beside:
@@ -28,37 +28,37 @@
  * One that doesn't answer, or hears nothing from the store itself, is left out
  * for a while, and the next takes its place: a host that is followed asks the store, whatever its own view of the ranking is.
  */
-export function wanted (state: ControlState, now: Instant): Wanted {
-  const { ranking, links, self, seeds, isSeed, followers, consulted } = state
+export function selectSources (state: SyncState, now: Instant): SourceSelection {
+  const { ranking, links, self, seeds, isSeed, followers, consultedUntil: consulted } = state
   const asked = [...consulted].filter(([, until]) => now < until).map(([id]) => id)
   const isFollowed = followers.links.length > 0
-  if (isRollAwaited(state, now)) return { links: asked, isReader: isFollowed }
+  if (isRegistryPending(state, now)) return { links: asked, isReader: isFollowed }
   if (ranking.hosts.length === 1) {
-    const known = seeds.filter(id => !links.isMissed(id, now, SEED_MS))
+    const known = seeds.filter(id => !links.isExcluded(id, now, SEED_RETRY_MS))
     return { links: [...known, ...asked], isReader: isSeed || seeds.length === 0 || isFollowed }
   }
   const isSelf = ({ id }: HostEntry) => id === self.id
-  const present = first(READERS + 1, ranking.near, host => isSelf(host) || !links.isMissed(linkOf(host), now))
-  const fit = present.filter(host => !isSelf(host) || !isTurnedAway(state))
-  const isFirst = present.slice(0, READERS).some(isSelf)
-  const near = fit.slice(0, READERS).filter(host => !isSelf(host)).map(linkOf)
-  const others = isFirst || isUncovered(state, now) ? first(READERS, ranking.far, host => !links.isMissed(linkOf(host), now)).map(linkOf) : []
+  const present = takeFirst(READERS_PER_DATA_CENTRE + 1, ranking.local, host => isSelf(host) || !links.isExcluded(linkOf(host), now))
+  const fit = present.filter(host => !isSelf(host) || !isFailedByStore(state))
+  const isFirst = present.slice(0, READERS_PER_DATA_CENTRE).some(isSelf)
+  const near = fit.slice(0, READERS_PER_DATA_CENTRE).filter(host => !isSelf(host)).map(linkOf)
+  const others = isFirst || isDataCentreCutOff(state, now) ? takeFirst(READERS_PER_DATA_CENTRE, ranking.remote, host => !links.isExcluded(linkOf(host), now)).map(linkOf) : []
   return { links: [...new Set([...near, ...others, ...asked])], isReader: isFirst || isFollowed }
 }
 
 /** Whether the store keeps failing this host. */
-function isTurnedAway ({ questions }: ControlState): boolean {
-  return questions.config.failures >= FAILURES
+function isFailedByStore ({ questions }: SyncState): boolean {
+  return questions.config.failures >= MAX_FAILURES
 }
 
 /** Nobody of this data centre hears from the store, and neither does this host: a data centre may be cut off from the store alone. */
-function isUncovered ({ nearAt, startedAt, pace, questions }: ControlState, now: Instant): boolean {
+function isDataCentreCutOff ({ localSourceAt: nearAt, startedAt, pace, questions }: SyncState, now: Instant): boolean {
   const answeredAt = questions.config.answeredAt ?? startedAt
-  return now - Math.max(nearAt, startedAt, answeredAt + pace.waitMs.config) > pace.silentMs
+  return now - Math.max(nearAt, startedAt, answeredAt + pace.longPollMs.config) > pace.silenceTimeoutMs
 }
 
 /** The first few that fit. A loop, since this is looked at with each event and the list has all hosts. */
-function first (count: number, hosts: readonly HostEntry[], isFit: (host: HostEntry) => boolean): readonly HostEntry[] {
+function takeFirst (count: number, hosts: readonly HostEntry[], isFit: (host: HostEntry) => boolean): readonly HostEntry[] {
   const found: HostEntry[] = []
   for (const host of hosts) {
     if (isFit(host)) found.push(host)
@@ -67,6 +67,6 @@
   return found
 }
 
-function isRollAwaited ({ tables, questions, startedAt }: ControlState, now: Instant): boolean {
-  return tables.roll.version === undefined && questions.roll.failures === 0 && now - startedAt < ROLL_MS
+function isRegistryPending ({ tables, questions, startedAt }: SyncState, now: Instant): boolean {
+  return tables.roll.version === undefined && questions.roll.failures === 0 && now - startedAt < REGISTRY_WAIT_MS
 }
--- a/src/core/pool/membership/soundness.ts
+++ b/src/core/pool/membership/staleness.ts
@@ -4,7 +4,7 @@
 import type { TableName } from './tablename.ts'
 
 /** Times of the store's own clock, by table; everything that the store had at that time is known. */
-type AsOf = Readonly<Partial<Record<TableName, number>>>
+type TableTimes = Readonly<Partial<Record<TableName, number>>>
 
 /**
  * Hosts tell each other up to which time of the store's clock they know a table. So a word that was held up on its way makes nothing look younger than it
@@ -14,31 +14,31 @@
  * time at which that was on this host's clock is never taken for later than it was, and ages never for less than they are.
  * Immutable; instants are of the clock that counts suspension, and after a suspension all ages are too high until the next answer.
  */
-export class Soundness {
+export class Staleness {
   /** `zeroAt`: this host's time when the store's clock was 0, or earlier; undefined until that can be told. */
-  private constructor (private readonly zeroAt: number | undefined, readonly asOf: AsOf) {}
+  private constructor (private readonly storeClockZeroAt: number | undefined, readonly asOf: TableTimes) {}
 
-  static readonly none = new Soundness(undefined, {})
+  static readonly none = new Staleness(undefined, {})
 
   /** A question that was sent then was answered when the store's clock showed the time. */
-  sampled (sentAt: Instant, storeMs: number): Soundness {
-    return new Soundness(Math.max(this.zeroAt ?? -Infinity, sentAt - storeMs), this.asOf)
+  withClockSample (sentAt: Instant, storeMs: number): Staleness {
+    return new Staleness(Math.max(this.storeClockZeroAt ?? -Infinity, sentAt - storeMs), this.asOf)
   }
 
   /** Everything that the store had at the times is known now. */
-  known (asOf: AsOf): Soundness {
+  withAsOf (asOf: TableTimes): Staleness {
     const names = [...Object.keys(asOf), ...Object.keys(this.asOf)] as TableName[]
-    return new Soundness(this.zeroAt, Object.fromEntries(names.map(name => [name, Math.max(asOf[name] ?? -Infinity, this.asOf[name] ?? -Infinity)])))
+    return new Staleness(this.storeClockZeroAt, Object.fromEntries(names.map(name => [name, Math.max(asOf[name] ?? -Infinity, this.asOf[name] ?? -Infinity)])))
   }
 
   /** Milliseconds for which the table may have been another one in the store; infinite where that can't be told. */
   ageMs (table: TableName, now: Instant): number {
     const asOf = this.asOf[table]
-    return this.zeroAt === undefined || asOf === undefined ? Infinity : Math.max(0, now - this.zeroAt - asOf)
+    return this.storeClockZeroAt === undefined || asOf === undefined ? Infinity : Math.max(0, now - this.storeClockZeroAt - asOf)
   }
 
   /** The time that the store's clock shows, or a later one; undefined until that can be told. */
   storeMs (now: Instant): number | undefined {
-    return this.zeroAt === undefined ? undefined : now - this.zeroAt
+    return this.storeClockZeroAt === undefined ? undefined : now - this.storeClockZeroAt
   }
 }
--- a/src/core/pool/membership/word.ts
+++ b/src/core/pool/membership/syncmessage.ts
@@ -7,7 +7,7 @@
 /** The versions up to which a host has each table. */
 type Versions = Readonly<Partial<Record<TableName, number>>>
 
-export type Word =
+export type SyncMessage =
   /** From the host that follows: who it is, and what it has. The first word of a link, and said again when either changes otherwise than by what it's told. */
   | { readonly kind: 'follow', readonly self: HostEntry, readonly versions: Versions }
   /** From the host that follows: it's still there. A welcome answers it too. */
--- a/src/core/pool/membership/controlstate.ts
+++ b/src/core/pool/membership/syncstate.ts
@@ -4,17 +4,17 @@
 import type { Followers } from './followers.ts'
 import type { HostEntry } from './hostentry.ts'
 import type { LinkId } from './linkid.ts'
-import type { Links } from './links.ts'
-import type { Pace } from './pace.ts'
-import type { Question } from './question.ts'
-import type { Ranking } from './ranking.ts'
-import type { Roll } from './roll.ts'
-import type { Soundness } from './soundness.ts'
-import type { Table } from './table.ts'
+import type { SourceLinks } from './sourcelinks.ts'
+import type { SyncTimings } from './synctimings.ts'
+import type { StoreQuery } from './storequery.ts'
+import type { ReaderRanking } from './readerranking.ts'
+import type { HostRegistry } from './hostregistry.ts'
+import type { Staleness } from './staleness.ts'
+import type { ReplicatedTable } from './replicatedtable.ts'
 import type { TableName } from './tablename.ts'
 
-export interface ControlState {
-  readonly pace: Pace
+export interface SyncState {
+  readonly pace: SyncTimings
   /** Hosts that the settings name, for the time in which no other is known. */
   readonly seeds: readonly LinkId[]
   /** Whether the settings name this one. */
@@ -24,25 +24,25 @@
   readonly self: HostEntry
   readonly startedAt: Instant
   readonly tickedAt: Instant
-  readonly tables: Readonly<Record<TableName, Table>>
-  readonly questions: Readonly<Record<TableName, Question>>
+  readonly tables: Readonly<Record<TableName, ReplicatedTable>>
+  readonly questions: Readonly<Record<TableName, StoreQuery>>
   /** How old what is known of the tables may be. */
-  readonly soundness: Soundness
-  readonly links: Links
+  readonly staleness: Staleness
+  readonly links: SourceLinks
   readonly followers: Followers
-  readonly roll: Roll
-  readonly ranking: Ranking
+  readonly roll: HostRegistry
+  readonly ranking: ReaderRanking
   readonly rankedAt: Instant
   /** When a host that hears from the store last said so, of this data centre, and of any; at first when this one started. */
-  readonly nearAt: Instant
-  readonly coveredAt: Instant
+  readonly localSourceAt: Instant
+  readonly sourceAt: Instant
   /** When this host last spoke to those that follow it, and to those that it follows. */
-  readonly beatAt: Instant
-  readonly spokeAt: Instant
+  readonly heartbeatAt: Instant
+  readonly keepaliveAt: Instant
   /** This host's own row of the roll: as it was written last, empty when it isn't known what the store has; when; and when another may be at the soonest. */
-  readonly row: { readonly value: string, readonly at: Instant, readonly notBefore: Instant, readonly isOpen: boolean }
+  readonly row: { readonly value: string, readonly at: Instant, readonly notBefore: Instant, readonly isPending: boolean }
   /** When the copy of the configuration may be written next. */
-  readonly copy: { readonly notBefore: Instant, readonly isOpen: boolean }
+  readonly copy: { readonly notBefore: Instant, readonly isPending: boolean }
   /** Hosts that have something newer, and until when they are followed for it. */
-  readonly consulted: ReadonlyMap<LinkId, Instant>
+  readonly consultedUntil: ReadonlyMap<LinkId, Instant>
 }
--- a/src/core/pool/membership/versions.ts
+++ b/src/core/pool/membership/versions.ts
@@ -1,11 +1,11 @@
 /** Up to which versions a host knows the tables. */
 
-import type { ControlState } from './controlstate.ts'
+import type { SyncState } from './syncstate.ts'
 import type { TableName } from './tablename.ts'
 import { tableNames } from './tablenames.ts'
 
 /** Without those that it doesn't know yet. */
-export function versionsOf ({ tables }: Pick<ControlState, 'tables'>): Readonly<Partial<Record<TableName, number>>> {
+export function versionsOf ({ tables }: Pick<SyncState, 'tables'>): Readonly<Partial<Record<TableName, number>>> {
   return Object.fromEntries(tableNames.flatMap(name => {
     const { version } = tables[name]
     return version === undefined ? [] : [[name, version]]
--- a/src/core/pool/route.ts
+++ b/src/core/pool/route.ts
@@ -8,11 +8,11 @@
   readonly group: GroupId
   readonly freshness: Freshness
   /** The longest that one statement may take, in milliseconds. */
-  readonly statementMs: number
+  readonly statementTimeoutMs: number
   /** The time within which a whole operation is meant to be done, in milliseconds. */
   readonly aimMs: number
   /** Index in the admission's classes: 0 for the most urgent. */
   readonly rank: number
   /** Whether callers need no key, where others do. */
-  readonly isOpen?: boolean
+  readonly isPublic?: boolean
 }
--- a/src/core/pool/statements/audited.test.ts
+++ b/src/core/pool/statements/auditrecord.test.ts
@@ -8,19 +8,19 @@
 import type { Instant } from '../../id/instant.ts'
 import type { Fault } from '../../statement/fault.ts'
 import { Token } from '../../token.ts'
-import { auditRecordOf } from './audited.ts'
+import { auditRecordOf } from './auditrecord.ts'
 import type { Route } from '../route.ts'
-import { Trail } from './trail.ts'
+import { TryHistory } from './tryhistory.ts'
 import type { Try } from './try.ts'
 
-const ROUTE: Route = { database: 'db', group: 'g' as GroupId, freshness: { kind: 'age', ms: 1500 }, statementMs: 800, aimMs: 100, rank: 0 }
+const ROUTE: Route = { database: 'db', group: 'g' as GroupId, freshness: { kind: 'age', ms: 1500 }, statementTimeoutMs: 800, aimMs: 100, rank: 0 }
 const PLAIN: Try = {
-  endpoint: 'a' as EndpointId, what: 'read', isInside: false, hasWritten: false, mustLead: false, ending: 'done', after: undefined, position: Token.of(1, 9), startMs: 0, ms: 5
+  endpoint: 'a' as EndpointId, what: 'read', isInTransaction: false, hasWritten: false, mustLead: false, ending: 'done', after: undefined, position: Token.of(1, 9), startMs: 0, ms: 5
 }
 type Ending = 'done' | Fault
 
 function record (ending: Ending, ...tries: ReadonlyArray<Partial<Try>>) {
-  const trail = Trail.begin(0 as Instant)
+  const trail = TryHistory.begin(0 as Instant)
   for (const one of tries) trail.add({ ...PLAIN, ...one })
   return auditRecordOf({
     id: 'h.0123456789ab.1.1', at: 0, request: 'q1', session: 's', caller: 'c', database: 'db', route: ROUTE, config: 3, kind: 'read', transaction: 't', trail, ending, tookMs: 7
@@ -28,18 +28,18 @@
 }
 
 const WRITE = { what: 'write', mustLead: true } as const
-const COMMIT = { what: 'commit', isInside: true, hasWritten: true, mustLead: true } as const
+const COMMIT = { what: 'commit', isInTransaction: true, hasWritten: true, mustLead: true } as const
 
 it.each<[string, ReturnType<typeof record>, string, string]>([
   ['a read at a replica', record('done', { after: Token.of(1, 7) }), 'done', 'held'],
   ['a strict read', record('done', { mustLead: true }), 'done', 'led'],
   ['a write', record('done', WRITE), 'done', 'committed'],
   ['a commit', record('done', COMMIT), 'done', 'committed'],
-  ['a write inside of a transaction', record('done', { ...WRITE, isInside: true }), 'done', 'led'],
+  ['a write inside of a transaction', record('done', { ...WRITE, isInTransaction: true }), 'done', 'led'],
   ['a replica that is behind', record('behind', { ending: 'behind', after: Token.of(1, 7) }), 'notRun', 'notRun'],
   ['no connection', record('busy', { ending: 'no connection' }), 'notRun', 'notRun'],
   ['nobody leads', record('busy'), 'notRun', 'notRun'],
-  ['a transaction that broke before its commit', record('aborted', { ...WRITE, isInside: true, ending: 'broken' }), 'notRun', 'notRun'],
+  ['a transaction that broke before its commit', record('aborted', { ...WRITE, isInTransaction: true, ending: 'broken' }), 'notRun', 'notRun'],
   ['a commit without an answer', record('unknown', { ...COMMIT, ending: 'broken' }), 'unknown', 'none'],
   ['a write without an answer', record('unknown', { ...WRITE, ending: 'outOfTime' }), 'unknown', 'none'],
   ['a read that broke, and found no other endpoint', record('busy', { ending: 'broken' }), 'notRun', 'noEffect'],
--- a/src/core/pool/statements/audited.ts
+++ b/src/core/pool/statements/auditrecord.ts
@@ -8,11 +8,11 @@
 import type { Fault } from '../../statement/fault.ts'
 import type { Statement } from '../../statement/statement.ts'
 import type { Route } from '../route.ts'
-import type { Met } from './met.ts'
-import type { Trail } from './trail.ts'
+import type { Congestion } from './congestion.ts'
+import type { TryHistory } from './tryhistory.ts'
 import type { Try } from './try.ts'
 
-interface Audited {
+interface AuditedStatement {
   readonly id: string
   /** Milliseconds since 1970 on the host's clock when the statement arrived. */
   readonly at: number
@@ -26,11 +26,11 @@
   readonly config: number
   readonly kind: Statement['kind'] | 'none'
   readonly transaction: string | undefined
-  readonly trail: Trail
+  readonly trail: TryHistory
   readonly ending: 'done' | Fault
   readonly tookMs: number
   /** Of a statement that was refused for want of room. */
-  readonly met?: Met | undefined
+  readonly met?: Congestion | undefined
 }
 
 type Attempt = Parameters<AuditRecord['withAttempt']>[0]
@@ -55,7 +55,7 @@
 }
 
 /** What proves "not run" of a try that ended so. */
-const PROOFS: ReadonlyMap<string, ReasonName> = new Map<string, ReasonName>([
+const NOT_RUN_REASONS: ReadonlyMap<string, ReasonName> = new Map<string, ReasonName>([
   ['busy', 'busy'],
   ['no connection', 'busy'],
   ['behind', 'behind'],
@@ -68,11 +68,11 @@
 ])
 
 /** What a record says of a statement that was refused before any endpoint was asked. */
-const UNTRIED: ReadonlyMap<Fault, ReasonName> = new Map<Fault, ReasonName>([['busy', 'noPrimary'], ['aborted', 'lostTransaction'], ['outOfTouch', 'outOfTouch'], ['overAllowance', 'overAllowance']])
+const REASONS_WITHOUT_TRY: ReadonlyMap<Fault, ReasonName> = new Map<Fault, ReasonName>([['busy', 'noPrimary'], ['aborted', 'lostTransaction'], ['outOfTouch', 'outOfTouch'], ['overAllowance', 'overAllowance']])
 /** The successor of a leaving primary has a commit: the try before stands for it. */
 const RECEIPT = 'received'
 
-export function auditRecordOf (audited: Audited): AuditRecord {
+export function auditRecordOf (audited: AuditedStatement): AuditRecord {
   const { id, at, request, session, caller, database, route, config, kind, trail, ending, tookMs, met } = audited
   const { freshness } = route ?? {}
   const isRead = trail.tries[0]?.what === 'read'
@@ -86,34 +86,34 @@
     group: route?.group ?? '',
     config,
     kind,
-    freshness: isRead && freshness !== undefined ? textOf(freshness) : undefined,
+    freshness: isRead && freshness !== undefined ? formatFreshness(freshness) : undefined,
     class: classes[route?.rank ?? 0] ?? classes[0],
     statement: kind.toUpperCase(),
-    deadlineMs: route?.statementMs ?? 0,
+    deadlineMs: route?.statementTimeoutMs ?? 0,
     met: met === undefined ? undefined : { ...met, endpoints: met.endpoints.map(one => ({ ...one, waiting: [...one.waiting] })) }
   })
   const attempts = attemptsOf(audited)
   const outcome = ending === 'done' ? ending : OUTCOMES[ending]
-  return attempts.reduce((record, attempt) => record.withAttempt(attempt), begun).withOutcome(outcome, tenths(tookMs))
+  return attempts.reduce((record, attempt) => record.withAttempt(attempt), begun).withOutcome(outcome, roundToTenth(tookMs))
 }
 
-function attemptsOf ({ trail, ending, route, transaction }: Audited): readonly Attempt[] {
+function attemptsOf ({ trail, ending, route, transaction }: AuditedStatement): readonly Attempt[] {
   const tries = trail.tries.filter(({ ending }) => ending !== RECEIPT)
   if (tries.length > 0 || ending === 'done') return tries.map(one => attemptOf(one, route, transaction))
-  const reason = UNTRIED.get(ending)
+  const reason = REASONS_WITHOUT_TRY.get(ending)
   const evidence: Evidence | undefined = reason === undefined ? undefined : { promise: 'notRun', reason }
   return [{ endpoint: '', access: 'none', startMs: 0, tookMs: 0, outcome: OUTCOMES[ending], reason: reason ?? ending, evidence }]
 }
 
 function attemptOf (one: Try, route: Route | undefined, transaction: string | undefined): Attempt {
-  const { endpoint, what, isInside, ending, position, startMs, ms } = one
+  const { endpoint, what, isInTransaction: isInside, ending, position, startMs, ms } = one
   const evidence = evidenceOf(one, route)
   return {
     endpoint,
     access: accessOf(one),
     transaction: isInside ? transaction : undefined,
-    startMs: tenths(startMs),
-    tookMs: tenths(ms),
+    startMs: roundToTenth(startMs),
+    tookMs: roundToTenth(ms),
     outcome: outcomeOf(ending, evidence),
     reason: ending === 'done' ? '' : ending,
     token: ending === 'done' && what !== 'read' && !(isInside && what === 'write') ? position?.toString() : undefined,
@@ -121,7 +121,7 @@
   }
 }
 
-function accessOf ({ what, isInside, mustLead }: Try): Attempt['access'] {
+function accessOf ({ what, isInTransaction: isInside, mustLead }: Try): Attempt['access'] {
   if (what === 'commit') return 'commit'
   if (isInside) return 'transaction'
   if (what === 'write') return 'write'
@@ -133,25 +133,25 @@
   return evidence?.promise === 'notRun' ? 'notRun' : 'unknown'
 }
 
-function evidenceOf ({ ending, what, isInside, hasWritten, mustLead, after, position }: Try, route: Route | undefined): Evidence | undefined {
+function evidenceOf ({ ending, what, isInTransaction: isInside, hasWritten, mustLead, after, position }: Try, route: Route | undefined): Evidence | undefined {
   const isCommitted = what === 'commit' ? hasWritten : what === 'write' && !isInside
   if (ending === 'done') {
     if (isCommitted) return position === undefined ? undefined : { promise: 'committed', token: position.toString() }
     if (mustLead && what !== 'commit') return { promise: 'led' }
     return after === undefined ? undefined : { promise: 'held', token: after.toString(), limitMs: route?.freshness.kind === 'age' ? route.freshness.ms : 0 }
   }
-  const reason = PROOFS.get(ending)
+  const reason = NOT_RUN_REASONS.get(ending)
   if (reason !== undefined) return { promise: 'notRun', reason }
   if (ending !== 'broken' && ending !== 'outOfTime') return undefined
   if (isInside && !isCommitted) return { promise: 'notRun', reason: 'rolledBack' }
   return what === 'read' ? { promise: 'noEffect' } : undefined
 }
 
-function textOf (freshness: Route['freshness']): string {
+function formatFreshness (freshness: Route['freshness']): string {
   return freshness.kind === 'age' ? `${freshness.ms}ms` : freshness.kind
 }
 
 /** A tenth of a millisecond is as fine as an explanation needs, and shorter to keep. */
-function tenths (ms: number): number {
+function roundToTenth (ms: number): number {
   return Math.round(ms * 10) / 10
 }
--- a/src/core/pool/statements/met.ts
+++ b/src/core/pool/statements/congestion.ts
@@ -1,6 +1,6 @@
 /** What a statement met that was refused for want of room: for its line, and for its record. */
 
-export interface Met {
+export interface Congestion {
   /** Undefined where callers have no keys. */
   readonly team: string | undefined
   /** The endpoints of its group, as far as this host has something there. */
--- a/src/core/pool/statements/work.ts
+++ b/src/core/pool/statements/endpointstatement.ts
@@ -15,18 +15,18 @@
 }
 
 /** Immutable. */
-export class Work {
+export class EndpointStatement {
   private constructor (private readonly fields: Fields) {}
 
   /** Undefined for a statement that endpoints don't get, and for one whose name isn't prepared. */
-  static of (id: string, statement: Statement, values: SessionState): Work | undefined {
+  static of (id: string, statement: Statement, values: SessionState): EndpointStatement | undefined {
     const { kind } = statement
-    if (kind === 'read' || kind === 'write' || kind === 'commit') return new Work({ id, statement, what: kind, preparation: undefined })
+    if (kind === 'read' || kind === 'write' || kind === 'commit') return new EndpointStatement({ id, statement, what: kind, preparation: undefined })
     if (kind !== 'execute') return undefined
     const prepared = values.statement(statement.name)
     if (prepared === undefined) return undefined
     const name = preparedName(prepared.isWrite, prepared.shape)
-    return new Work({ id, statement, what: prepared.isWrite ? 'write' : 'read', preparation: { kind: 'prepare', name, ...prepared } })
+    return new EndpointStatement({ id, statement, what: prepared.isWrite ? 'write' : 'read', preparation: { kind: 'prepare', name, ...prepared } })
   }
 
   get id (): string {
@@ -38,7 +38,7 @@
   }
 
   /** Own commands that have to go before it on a connection in the state. */
-  preludeOn (connection: SessionState, session: SessionState): readonly Command[] {
+  setupCommands (connection: SessionState, session: SessionState): readonly Command[] {
     const commands = connection.commandsTo(session)
     const { preparation } = this.fields
     if (preparation === undefined) return commands
--- a/src/core/pool/statements/linebudget.test.ts
+++ b/src/core/pool/statements/logratelimiter.test.ts
@@ -2,20 +2,20 @@
 
 import { expect, it } from 'vitest'
 import type { Instant } from '../../id/instant.ts'
-import { LineBudget } from './linebudget.ts'
+import { LogRateLimiter } from './logratelimiter.ts'
 
 it('writes a burst, then so many a second, and counts what it drops', () => {
-  const budget = LineBudget.create(0 as Instant)
-  const burst = Array.from({ length: 1000 }, () => budget.take(0 as Instant).isGranted).filter(Boolean).length
+  const budget = LogRateLimiter.create(0 as Instant)
+  const burst = Array.from({ length: 1000 }, () => budget.acquire(0 as Instant).isGranted).filter(Boolean).length
   expect(burst).toBe(300)
-  expect(budget.take(10 as Instant)).toEqual({ isGranted: true, dropped: 700 })
-  const later = Array.from({ length: 1000 }, (_, i) => budget.take(10 + i as Instant).isGranted).filter(Boolean).length
+  expect(budget.acquire(10 as Instant)).toEqual({ isGranted: true, dropped: 700 })
+  const later = Array.from({ length: 1000 }, (_, i) => budget.acquire(10 + i as Instant).isGranted).filter(Boolean).length
   expect(later).toBeGreaterThanOrEqual(99)
   expect(later).toBeLessThanOrEqual(101)
 })
 
 it('samples by the id alone', () => {
-  const budgets = [LineBudget.create(0 as Instant), LineBudget.create(5 as Instant)]
+  const budgets = [LogRateLimiter.create(0 as Instant), LogRateLimiter.create(5 as Instant)]
   const ids = Array.from({ length: 6400 }, (_, i) => `id-${i}`)
   const [one, other] = budgets.map(budget => ids.filter(id => budget.isSampled(id)))
   expect(one).toEqual(other)
--- a/src/core/pool/statements/linebudget.ts
+++ b/src/core/pool/statements/logratelimiter.ts
@@ -7,11 +7,11 @@
  * Lines of requests in a second. A line takes about 15 microseconds to make, so
  * the budget is below 0.2% of a core, and a failure of a second still leaves a hundred cases.
  */
-const PER_SECOND = 100
+const LINES_PER_SECOND = 100
 /** A failure's first moments may use what the seconds before left. */
-const MOST = 300
+const BURST_LINES = 300
 /** Of requests that end well one in so many is written. */
-const SAMPLE = 64
+const SAMPLE_INTERVAL = 64
 
 interface Grant {
   /** Whether the line may be written. */
@@ -25,22 +25,22 @@
  * every request fail, each is a line, and writing them takes the time that the recovery needs.
  * Changes in place.
  */
-export class LineBudget {
-  private tokens = MOST
+export class LogRateLimiter {
+  private tokens = BURST_LINES
   private dropped = 0
-  private filledAt: Instant
+  private refilledAt: Instant
 
   private constructor (now: Instant) {
-    this.filledAt = now
+    this.refilledAt = now
   }
 
-  static create (now: Instant): LineBudget {
-    return new LineBudget(now)
+  static create (now: Instant): LogRateLimiter {
+    return new LogRateLimiter(now)
   }
 
-  take (now: Instant): Grant {
-    this.tokens = Math.min(MOST, this.tokens + (now - this.filledAt) / 1000 * PER_SECOND)
-    this.filledAt = now
+  acquire (now: Instant): Grant {
+    this.tokens = Math.min(BURST_LINES, this.tokens + (now - this.refilledAt) / 1000 * LINES_PER_SECOND)
+    this.refilledAt = now
     if (this.tokens < 1) {
       this.dropped++
       return { isGranted: false, dropped: 0 }
@@ -53,6 +53,6 @@
 
   /** By the request's id, so that all hosts that see a request write its lines or none does. */
   isSampled (id: string): boolean {
-    return weightOf(id) % SAMPLE === 0
+    return weightOf(id) % SAMPLE_INTERVAL === 0
   }
 }
--- a/src/core/pool/statements/news.ts
+++ b/src/core/pool/statements/newprimarywait.ts
@@ -5,9 +5,9 @@
  * old one refused: the successor's report is then under way. Later it's known
  * that nobody leads, unless a succession is under way.
  */
-const NEWS_MS = 100
+const MAX_WAIT_MS = 100
 
 /** Milliseconds; `missingMs`: without any known primary, undefined while one is known. */
-export function newsMs (missingMs: number | undefined): number {
-  return missingMs === undefined ? 0 : Math.max(0, NEWS_MS - missingMs)
+export function newPrimaryWaitMs (missingMs: number | undefined): number {
+  return missingMs === undefined ? 0 : Math.max(0, MAX_WAIT_MS - missingMs)
 }
--- a/src/core/pool/statements/remedy.ts
+++ b/src/core/pool/statements/remedy.ts
@@ -22,10 +22,10 @@
 }
 
 /** Faults after which the same operation may be sent again, so a time to come back helps. */
-const COME_BACK: ReadonlySet<Fault> = new Set<Fault>(['busy', 'aborted', 'behind', 'notPrimary', 'wrongEndpoint', 'tooManyConnections', 'outOfTouch', 'overAllowance'])
+const RETRYABLE: ReadonlySet<Fault> = new Set<Fault>(['busy', 'aborted', 'behind', 'notPrimary', 'wrongEndpoint', 'tooManyConnections', 'outOfTouch', 'overAllowance'])
 
 /** `retryAfterMs`: when a new try may do better, in milliseconds. */
 export function remedyOf (fault: Fault, retryAfterMs: number): string {
   const text = REMEDIES[fault]
-  return COME_BACK.has(fault) ? `${text}; come back in ${Math.ceil(retryAfterMs)} ms` : text
+  return RETRYABLE.has(fault) ? `${text}; come back in ${Math.ceil(retryAfterMs)} ms` : text
 }
--- a/src/core/pool/statements/try.ts
+++ b/src/core/pool/statements/try.ts
@@ -7,7 +7,7 @@
   readonly endpoint: EndpointId
   readonly what: 'read' | 'write' | 'commit'
   /** Whether it ran inside of a caller's transaction, and whether that had written. */
-  readonly isInside: boolean
+  readonly isInTransaction: boolean
   readonly hasWritten: boolean
   /** Whether only an endpoint that led could run it. */
   readonly mustLead: boolean
--- a/src/core/pool/statements/trail.ts
+++ b/src/core/pool/statements/tryhistory.ts
@@ -4,26 +4,26 @@
 import type { Try } from './try.ts'
 
 /** Changes in place: each statement has one, and few are written. */
-export class Trail {
-  private readonly noted: Try[] = []
+export class TryHistory {
+  private readonly recorded: Try[] = []
 
   private constructor (readonly since: Instant) {}
 
-  static begin (now: Instant): Trail {
-    return new Trail(now)
+  static begin (now: Instant): TryHistory {
+    return new TryHistory(now)
   }
 
   add (one: Try): void {
-    this.noted.push(one)
+    this.recorded.push(one)
   }
 
   /** In their order. */
   get tries (): readonly Try[] {
-    return this.noted
+    return this.recorded
   }
 
   get count (): number {
-    return this.noted.length
+    return this.recorded.length
   }
 
   /** Such as `i-1 after 3:7 behind 2 ms, i-2 done 9 ms`; empty when no endpoint was asked. */
--- a/src/core/pool/statements/verdict.test.ts
+++ b/src/core/pool/statements/verdict.test.ts
@@ -8,7 +8,7 @@
 
 function verdict (what: 'read' | 'write' | 'commit', where: Where, ending: Ending): string {
   const isInside = where !== 'alone'
-  const result = verdictOf(ending, { what, isInside, isFirst: where === 'alone' || where === 'first', hasWritten: where === 'afterWrite' })
+  const result = verdictOf(ending, { what, isInTransaction: isInside, isFirst: where === 'alone' || where === 'first', hasWritten: where === 'afterWrite' })
   return result.kind === 'elsewhere' ? 'elsewhere' : result.fault
 }
 
--- a/src/core/pool/statements/verdict.ts
+++ b/src/core/pool/statements/verdict.ts
@@ -3,10 +3,10 @@
 import type { Fault } from '../../statement/fault.ts'
 import type { Ending } from './ending.ts'
 
-interface Attempted {
+interface AttemptContext {
   readonly what: 'read' | 'write' | 'commit'
   /** Whether it ran inside of a caller's transaction. */
-  readonly isInside: boolean
+  readonly isInTransaction: boolean
   /** Whether it's the first statement that the endpoint got of the transaction. */
   readonly isFirst: boolean
   /** Whether the transaction has sent a write. */
@@ -24,7 +24,7 @@
 ])
 
 /** Endings after which an endpoint holds nothing of a single read, so that another may be asked. */
-const READ_AGAIN: ReadonlySet<Ending> = new Set<Ending>(['broken', 'failed'])
+const RETRYABLE_READ_ENDINGS: ReadonlySet<Ending> = new Set<Ending>(['broken', 'failed'])
 
 /**
  * Guard against a write that runs twice, and against "not run" said of one
@@ -39,17 +39,17 @@
  * statements of one may only run on that of the first. A write that failed stays with its caller as well, also
  * where a rollback makes it harmless: most of them are wrong and not unlucky, and all go to the one primary, where a second one fails alike.
  */
-export function verdictOf (ending: Ending, { what, isInside, isFirst, hasWritten }: Attempted): Verdict {
+export function verdictOf (ending: Ending, { what, isInTransaction: isInside, isFirst, hasWritten }: AttemptContext): Verdict {
   const isKeptNowhere = isInside && isFirst && what !== 'commit'
   if (isKeptNowhere && (NOT_RUN.has(ending) || ending === 'broken')) return { kind: 'elsewhere' }
-  if (isInside) return refuse(insideFault(ending, what === 'commit', hasWritten))
-  if (NOT_RUN.has(ending) || (what === 'read' && READ_AGAIN.has(ending))) return { kind: 'elsewhere' }
+  if (isInside) return refuse(transactionFault(ending, what === 'commit', hasWritten))
+  if (NOT_RUN.has(ending) || (what === 'read' && RETRYABLE_READ_ENDINGS.has(ending))) return { kind: 'elsewhere' }
   if (ending === 'broken') return refuse('unknown')
   if (ending === 'outOfTime') return refuse(what === 'read' ? 'timeout' : 'unknown')
   return refuse(ending)
 }
 
-function insideFault (ending: Ending, isCommit: boolean, hasWritten: boolean): Fault {
+function transactionFault (ending: Ending, isCommit: boolean, hasWritten: boolean): Fault {
   const isOpen = ending === 'broken' || ending === 'outOfTime'
   if (isOpen) return isCommit && hasWritten ? 'unknown' : 'aborted'
   // A name that the connection lost is a fault of this process and none of the caller's.
--- a/src/shell/pool/context.ts
+++ b/src/shell/pool/context.ts
@@ -8,7 +8,7 @@
 import type { GroupId } from '../../core/id/group.ts'
 import type { SharedRetryBudget } from '../../core/retry/sharedretrybudget.ts'
 import type { PoolHost } from '../../core/pool/placing/host.ts'
-import type { LineBudget } from '../../core/pool/statements/linebudget.ts'
+import type { LogRateLimiter } from '../../core/pool/statements/logratelimiter.ts'
 import type { Log } from '../log/log.ts'
 import type { Auditor } from './statements/auditor.ts'
 import type { Allowances } from './allowance/allowances.ts'
@@ -38,7 +38,7 @@
   readonly retryBudget: SharedRetryBudget
   readonly log: Log
   /** For lines of requests. */
-  readonly lineBudget: LineBudget
+  readonly lineBudget: LogRateLimiter
   readonly metrics: PoolMetrics
   /** Undefined when the operator wants no records. */
   readonly auditor: Auditor | undefined
--- a/src/shell/pool/failover/failovercontroller.ts
+++ b/src/shell/pool/failover/failovercontroller.ts
@@ -3,13 +3,13 @@
 import { setTimeout as pause } from 'node:timers/promises'
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { HostId } from '../../../core/id/host.ts'
-import { Handover } from '../../../core/pool/succession/handover.ts'
+import { Handover } from '../../../core/pool/failover/handover.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
-import { Lease } from '../../../core/pool/succession/lease.ts'
-import { Succession } from '../../../core/pool/succession/succession.ts'
-import type { SuccessionAction } from '../../../core/pool/succession/successionaction.ts'
-import type { SuccessionEvent } from '../../../core/pool/succession/successionevent.ts'
-import type { SuccessionView } from '../../../core/pool/succession/successionview.ts'
+import { Lease } from '../../../core/pool/failover/lease.ts'
+import { GroupFailover } from '../../../core/pool/failover/groupfailover.ts'
+import type { GroupFailoverAction } from '../../../core/pool/failover/groupfailoveraction.ts'
+import type { GroupFailoverEvent } from '../../../core/pool/failover/groupfailoverevent.ts'
+import type { GroupFailoverView } from '../../../core/pool/failover/groupfailoverview.ts'
 import { readJson } from '../../../core/readjson.ts'
 import * as z from 'zod'
 import type { Log } from '../../log/log.ts'
@@ -49,15 +49,15 @@
 /** Half of the least time that hosts have to object. */
 const OBJECTION_SPREAD_MS = 100
 
-type Promote = Extract<SuccessionAction, { kind: 'promote' }>
-type Survey = Extract<SuccessionAction, { kind: 'survey' }>
+type Promote = Extract<GroupFailoverAction, { kind: 'promote' }>
+type Survey = Extract<GroupFailoverAction, { kind: 'survey' }>
 
 const leaseShape = z.object({ holder: z.string(), asksFor: z.string().optional() })
 const handoverShape = z.object({ old: z.string(), successor: z.string() })
 const objectionShape = z.object({ fence: z.number(), endpoint: z.string() })
 
 export class FailoverController {
-  private succession = Succession.create(clock.now())
+  private succession = GroupFailover.create(clock.now())
   private lease: Lease | undefined
   private readonly probing = new Set<EndpointId>()
   /** The newest fence under which a host objected. */
@@ -76,9 +76,9 @@
   tick (): void {
     const { group } = this.options
     for (const { id } of group.knownEndpoints) {
-      if (!this.probing.has(id) && group.contact(id).isDoubtful(clock.now())) this.settleDoubt(id)
+      if (!this.probing.has(id) && group.contact(id).isSuspect(clock.now())) this.settleDoubt(id)
     }
-    if (!this.succession.isCalm || !this.isHealthy) this.step({ kind: 'tick' })
+    if (!this.succession.isIdle || !this.isHealthy) this.step({ kind: 'tick' })
   }
 
   /** Whether there is nothing to judge: nearly always, so it's looked at before the view is put together. */
@@ -116,7 +116,7 @@
     this.options.group.setHandover(Handover.of({ old: old as EndpointId, successor: successor as EndpointId }))
   }
 
-  private get view (): SuccessionView {
+  private get view (): GroupFailoverView {
     const { group, host, failoverOrder: turns, drainMs } = this.options
     const { leader, endpoints } = group
     const now = clock.age()
@@ -131,17 +131,17 @@
       leaving: new Set(endpoints.filter(({ isLeaving }) => isLeaving).map(({ id }) => id)),
       rank: Math.max(0, turns().indexOf(host)),
       mayClaim: this.lease === undefined || this.lease.mayClaim(host, now),
-      holds: this.lease?.isHeldBy(host, now) === true
+      isLeaseHolder: this.lease?.isHeldBy(host, now) === true
     }
   }
 
-  private step (event: SuccessionEvent): void {
+  private step (event: GroupFailoverEvent): void {
     const { next, actions } = this.succession.step(event, this.view, clock.now())
     this.succession = next
     for (const action of actions) this.act(action)
   }
 
-  private act (action: SuccessionAction): void {
+  private act (action: GroupFailoverAction): void {
     switch (action.kind) {
       case 'claim': return this.claim(action)
       case 'confirm': return this.confirm(action.fence)
@@ -153,7 +153,7 @@
     }
   }
 
-  private claim ({ cause, asksFor }: Extract<SuccessionAction, { kind: 'claim' }>): void {
+  private claim ({ cause, asksFor }: Extract<GroupFailoverAction, { kind: 'claim' }>): void {
     const { host, group, platform, table, log, metrics, signal } = this.options
     metrics.storeCalls.inc({ call: 'write', table: 'shared', why: 'lease' })
     const change = { table, key: `lease/${group.id}`, value: JSON.stringify({ holder: host, asksFor }), expected: this.lease?.version ?? 0 }
@@ -189,7 +189,7 @@
 
   private promote (action: Promote): void {
     const { group, log } = this.options
-    const { endpoint, fence, handsOver } = action
+    const { endpoint, fence, handoverFrom: handsOver } = action
     log.write('promotionBegun', { group: group.id, endpoint, fence, before: group.leader ?? 'none', isHandover: handsOver !== undefined })
     this.announce(action).then(async isAnnounced => {
       const outcome = isAnnounced ? await this.order(endpoint, fence) : 'notDone'
@@ -199,7 +199,7 @@
   }
 
   /** Tells all hosts to whom a leaving primary hands over, before it's ordered; false when the store didn't take it. */
-  private async announce ({ endpoint, handsOver }: Promote): Promise<boolean> {
+  private async announce ({ endpoint, handoverFrom: handsOver }: Promote): Promise<boolean> {
     if (handsOver === undefined) return true
     const { group, platform, table, metrics, signal } = this.options
     metrics.storeCalls.inc({ call: 'write', table: 'shared', why: 'handover' })
--- a/src/shell/pool/failover/outage.ts
+++ b/src/shell/pool/failover/outage.ts
@@ -1,14 +1,14 @@
 /** The time in which a group has no primary that this host reaches, as the statements that need one see it. */
 
 import type { GroupId } from '../../../core/id/group.ts'
-import { Expectation } from '../../../core/pool/succession/expectation.ts'
+import { FailoverEstimate } from '../../../core/pool/failover/failoverestimate.ts'
 import type { Log } from '../../log/log.ts'
 import { clock } from '../clock.ts'
 import { Waiters } from '../waiters.ts'
 
 /** The only place where the group's expectation is replaced. */
 export class Outage {
-  private expectation = Expectation.none
+  private expectation = FailoverEstimate.none
   private readonly waiters = Waiters.create()
   private count = 0
   /** What the log was told of this outage. */
@@ -49,14 +49,14 @@
 
   /** No promotion follows, as far as this host knows. */
   cancelExpectation (): void {
-    this.expectation = this.expectation.halted()
+    this.expectation = this.expectation.aborted()
     this.waiters.wake()
   }
 
   /** Milliseconds until there is a primary; undefined when none is expected. */
   expectedMs (): number | undefined {
     this.begin()
-    return this.expectation.leftMs(clock.now())
+    return this.expectation.remainingMs(clock.now())
   }
 
   /** A statement waits on, `ms` being what is expected; undefined: one that waited was refused since nothing is. At most two lines an outage, however many wait. */
--- a/src/shell/pool/failover/probes.ts
+++ b/src/shell/pool/failover/probes.ts
@@ -48,7 +48,7 @@
   private handleDialFault (id: EndpointId, fault: DialFault): boolean {
     const { group } = this
     if (fault === 'tooManyConnections') group.answered(id, undefined, clock.age(), false)
-    const isFull = fault === 'tooManyConnections' || (fault === 'turnedAway' && group.contact(id).isFresh(FULL_MS, clock.now()))
+    const isFull = fault === 'tooManyConnections' || (fault === 'turnedAway' && group.contact(id).hasAnsweredWithin(FULL_MS, clock.now()))
     if (!isFull) group.recordNoAnswer(id)
     return isFull
   }
--- a/src/shell/pool/group.ts
+++ b/src/shell/pool/group.ts
@@ -10,13 +10,13 @@
 import type { EndpointLoad } from '../../core/pool/load/endpointload.ts'
 import { GroupUsage } from '../../core/pool/load/groupusage.ts'
 import type { LoadSnapshot } from '../../core/pool/load/loadsnapshot.ts'
-import { Contact } from '../../core/pool/succession/contact.ts'
-import type { Handover } from '../../core/pool/succession/handover.ts'
-import { Leadership } from '../../core/pool/succession/leadership.ts'
+import { Reachability } from '../../core/pool/failover/reachability.ts'
+import type { Handover } from '../../core/pool/failover/handover.ts'
+import { Leadership } from '../../core/pool/failover/leadership.ts'
 import type { PoolHost } from '../../core/pool/placing/host.ts'
-import type { Patience } from '../../core/pool/statements/patience.ts'
-import { Patient } from '../../core/pool/statements/patient.ts'
-import { Prompt } from '../../core/pool/statements/prompt.ts'
+import type { RetryPolicy } from '../../core/pool/statements/retrypolicy.ts'
+import { PatientRetryPolicy } from '../../core/pool/statements/patientretrypolicy.ts'
+import { FailFastRetryPolicy } from '../../core/pool/statements/failfastretrypolicy.ts'
 import { ServiceTime } from '../../core/admission/servicetime.ts'
 import { LogProgress } from '../../core/pool/reads/logprogress.ts'
 import { ReachingHosts } from '../../core/pool/placing/reachinghosts.ts'
@@ -36,8 +36,8 @@
 import { Outage } from './failover/outage.ts'
 import { Watchers } from './watchers.ts'
 
-const PATIENT = Patient.create()
-const PROMPT = Prompt.create()
+const PATIENT = PatientRetryPolicy.create()
+const PROMPT = FailFastRetryPolicy.create()
 
 interface Options {
   readonly id: GroupId
@@ -57,7 +57,7 @@
 export class PoolGroup {
   private readonly connectionPools = new Map<EndpointId, ConnectionPool>()
   private readonly standings = new Map<EndpointId, LogState>()
-  private readonly contacts = new Map<EndpointId, Contact>()
+  private readonly contacts = new Map<EndpointId, Reachability>()
   /** Where reads go. */
   readonly readRouter: ReadRouter
   /** Endpoints that were logged as out of reach. */
@@ -129,8 +129,8 @@
     return this.directory.get(id)
   }
 
-  contact (id: EndpointId): Contact {
-    return this.contacts.get(id) ?? Contact.none
+  contact (id: EndpointId): Reachability {
+    return this.contacts.get(id) ?? Reachability.none
   }
 
   /** Another host reaches the endpoint. */
@@ -151,7 +151,7 @@
 
   /** Milliseconds without a known leader. */
   leaderlessMs (): number {
-    return this.leadership.missingMs(clock.now())
+    return this.leadership.leaderlessMs(clock.now())
   }
 
   /** The same; undefined while one is known. */
@@ -160,7 +160,7 @@
   }
 
   /** Which statements wait for what they lack: only where the group's owners are picked, so that each of them knows what is under way. */
-  get retryPolicy (): Patience {
+  get retryPolicy (): RetryPolicy {
     return this.share.hasRoom ? PATIENT : PROMPT
   }
 
@@ -186,7 +186,7 @@
   updateDirectory (directory: Directory): void {
     const before = this.directory
     this.directory = directory
-    this.setLeadership(this.leadership.listed(before, directory), 'directory')
+    this.setLeadership(this.leadership.directoryChanged(before, directory), 'directory')
     for (const { id, startedAtMs: bornAt } of this.endpoints) {
       const old = before.get(id)
       if (old !== undefined && old.startedAtMs !== bornAt) this.removeEndpoint(id)
@@ -213,7 +213,7 @@
 
   /** Who must have received a commit of the endpoint before it's acknowledged; undefined when nobody must. */
   successorOf (endpoint: EndpointId): EndpointId | undefined {
-    return this.handover?.concerns(endpoint) === true ? this.handover.successor : undefined
+    return this.handover?.affects(endpoint) === true ? this.handover.successor : undefined
   }
 
   /** The connections to the endpoint; undefined for one that isn't listed. */
@@ -281,7 +281,7 @@
 
   recordNoAnswer (id: EndpointId): void {
     const now = clock.now()
-    const contact = this.contact(id).missed(now)
+    const contact = this.contact(id).failed(now)
     this.contacts.set(id, contact)
     if (!contact.isFailing(now)) return
     if (id === this.leader) this.outage.begin()
@@ -319,7 +319,7 @@
       isShared: this.share.hasRoom,
       standing: id => this.standing(id),
       lender: id => this.connectionPools.get(id),
-      isReachable: id => !this.contact(id).isOut(now)
+      isReachable: id => !this.contact(id).isUnreachable(now)
     }
   }
 
--- a/src/shell/pool/membership/messagecodec.ts
+++ b/src/shell/pool/membership/messagecodec.ts
@@ -4,7 +4,7 @@
 import * as z from 'zod'
 import type { DataCentreId } from '../../../core/id/datacentre.ts'
 import type { HostId } from '../../../core/id/host.ts'
-import type { Word } from '../../../core/pool/membership/word.ts'
+import type { SyncMessage } from '../../../core/pool/membership/syncmessage.ts'
 import { tableNames } from '../../../core/pool/membership/tablenames.ts'
 import { readJson } from '../../../core/readjson.ts'
 
@@ -32,11 +32,11 @@
 const packed = z.object({ packed: z.string() })
 
 /** A reader tells the same word to all who follow it, so it's made into a line once. */
-const encoded = new WeakMap<Word, string>()
+const encoded = new WeakMap<SyncMessage, string>()
 
 export const messageCodec = {
   /** With its end. */
-  encode (said: Word): string {
+  encode (said: SyncMessage): string {
     const known = encoded.get(said)
     if (known !== undefined) return known
     const text = JSON.stringify(said)
@@ -46,7 +46,7 @@
   },
 
   /** Undefined for a line that is no word, such as that of another program. */
-  decode (line: string): Word | undefined {
+  decode (line: string): SyncMessage | undefined {
     const json = readJson(line)
     const long = packed.safeParse(json)
     const parsed = word.safeParse(long.success ? readJson(unpack(long.data.packed)) : json)
--- a/src/shell/pool/membership/messagelink.ts
+++ b/src/shell/pool/membership/messagelink.ts
@@ -3,12 +3,12 @@
 import { connect, type Socket } from 'node:net'
 import { StringDecoder } from 'node:string_decoder'
 import type { LinkId } from '../../../core/pool/membership/linkid.ts'
-import type { Word } from '../../../core/pool/membership/word.ts'
+import type { SyncMessage } from '../../../core/pool/membership/syncmessage.ts'
 import { messageCodec } from './messagecodec.ts'
 
 interface Listeners {
   readonly onOpen?: () => void
-  readonly onMessage: (word: Word) => void
+  readonly onMessage: (word: SyncMessage) => void
   /** Once, and not after `close`. */
   readonly onEnd: () => void
 }
@@ -42,7 +42,7 @@
     return new MessageLink(socket, listeners)
   }
 
-  send (word: Word): void {
+  send (word: SyncMessage): void {
     if (!this.isEnded) this.socket.write(messageCodec.encode(word))
   }
 
--- a/src/shell/pool/membership/tablereplicator.ts
+++ b/src/shell/pool/membership/tablereplicator.ts
@@ -2,15 +2,15 @@
 
 import { createServer } from 'node:net'
 import { setTimeout as pause } from 'node:timers/promises'
-import { Control } from '../../../core/pool/membership/control.ts'
-import type { ControlAction } from '../../../core/pool/membership/controlaction.ts'
-import type { ControlEvent } from '../../../core/pool/membership/controlevent.ts'
+import { TableSync } from '../../../core/pool/membership/tablesync.ts'
+import type { SyncAction } from '../../../core/pool/membership/syncaction.ts'
+import type { SyncEvent } from '../../../core/pool/membership/syncevent.ts'
 import type { LinkId } from '../../../core/pool/membership/linkid.ts'
 import { linkOf } from '../../../core/pool/membership/linkof.ts'
-import type { Pace } from '../../../core/pool/membership/pace.ts'
-import { rollRow } from '../../../core/pool/membership/rollrow.ts'
+import type { SyncTimings } from '../../../core/pool/membership/synctimings.ts'
+import { registryRow } from '../../../core/pool/membership/registryrow.ts'
 import type { Row } from '../../../core/pool/membership/row.ts'
-import { Table } from '../../../core/pool/membership/table.ts'
+import { ReplicatedTable } from '../../../core/pool/membership/replicatedtable.ts'
 import type { TableName } from '../../../core/pool/membership/tablename.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 import type { Log } from '../../log/log.ts'
@@ -23,7 +23,7 @@
 
 interface Options {
   readonly self: PoolHost
-  readonly pace: Pace
+  readonly pace: SyncTimings
   /** Where hosts that the settings name take links. */
   readonly seeds: readonly LinkId[]
   /** Whether the whole system starts for the first time. */
@@ -44,8 +44,8 @@
   readonly onReady: () => void
 }
 
-type Ask = Extract<ControlAction, { kind: 'ask' }>
-type Write = Extract<ControlAction, { kind: 'write' }>
+type Ask = Extract<SyncAction, { kind: 'ask' }>
+type Write = Extract<SyncAction, { kind: 'write' }>
 
 /** A fifth of the time after which a host counts as silent, with the shortest bounds that are known. */
 const TICK_MS = 100
@@ -56,11 +56,11 @@
 const COPY_MS = 100
 
 export class TableReplicator {
-  private control: Control
+  private control: TableSync
   private readonly sources = new Map<LinkId, MessageLink>()
   private readonly followers = new Map<number, MessageLink>()
   private links = 0
-  private readonly events: ControlEvent[] = []
+  private readonly events: SyncEvent[] = []
   private isStepping = false
   private wasReady = false
   private readonly failing = new Set<TableName>()
@@ -77,7 +77,7 @@
     const own = linkOf(self)
     // A host that starts anew contradicts what was said of its life before, whatever the time of day says by then.
     const entry = { ...self, incarnation: Date.now(), isLeaving: false }
-    this.control = Control.create({ self: entry, pace, seeds: seeds.filter(seed => seed !== own), isSeed: seeds.includes(own), isFirstStart }, clock.now())
+    this.control = TableSync.create({ self: entry, pace, seeds: seeds.filter(seed => seed !== own), isSeed: seeds.includes(own), isFirstStart }, clock.now())
   }
 
   /** Runs until the signal. */
@@ -107,7 +107,7 @@
 
   /** Whether every table is known. */
   get isKnown (): boolean {
-    return this.control.isKnown
+    return this.control.hasAllTables
   }
 
   /** Milliseconds for which the table may have been another one in the store. */
@@ -129,7 +129,7 @@
   }
 
   /** One after the other, since what an event brings about may be another event, and words must leave in their order. */
-  private step (event: ControlEvent): void {
+  private step (event: SyncEvent): void {
     if (this.signal.aborted) return
     this.events.push(event)
     if (this.isStepping) return
@@ -140,12 +140,12 @@
       for (const action of stepped.actions) this.act(action)
     }
     this.isStepping = false
-    if (this.wasReady || !this.control.isEnough(clock.now())) return
+    if (this.wasReady || !this.control.isReady(clock.now())) return
     this.wasReady = true
     this.options.onReady()
   }
 
-  private act (action: ControlAction): void {
+  private act (action: SyncAction): void {
     const { log, onRows: onNews, onHostsChange: onHosts } = this.options
     switch (action.kind) {
       case 'news': {
@@ -172,8 +172,8 @@
         this.sources.delete(action.link)
         return
       }
-      case 'say': return this.sources.get(action.link)?.send(action.word)
-      case 'tell': return this.followers.get(action.link)?.send(action.word)
+      case 'say': return this.sources.get(action.link)?.send(action.message)
+      case 'tell': return this.followers.get(action.link)?.send(action.message)
       case 'drop': {
         this.followers.get(action.link)?.close()
         this.followers.delete(action.link)
@@ -187,11 +187,11 @@
     this.why = why
     const askedAt = clock.age()
     const copied = table === 'config' && after === undefined ? await this.readCopy() : undefined
-    if (copied !== undefined) return this.step({ kind: 'answered', table, isWhole: true, askedAt, ...copied })
+    if (copied !== undefined) return this.step({ kind: 'answered', table, isWhole: true, sentAt: askedAt, ...copied })
     metrics.storeCalls.inc({ call: after === undefined ? 'read' : 'changes', table, why })
     const answer = after === undefined ? await store.read(names[table], this.signal) : await store.changes(names[table], after, waitMs, this.signal)
     this.recordOutcome(table, answer.isErr() && answer.error !== 'forgotten')
-    if (answer.isOk()) return this.step({ kind: 'answered', table, isWhole: after === undefined, askedAt, ...answer.value })
+    if (answer.isOk()) return this.step({ kind: 'answered', table, isWhole: after === undefined, sentAt: askedAt, ...answer.value })
     this.step({ kind: answer.error === 'forgotten' ? 'forgotten' : 'failed', table })
   }
 
@@ -208,7 +208,7 @@
     metrics.storeCalls.inc({ call: 'changes', table: 'config', why: 'copy' })
     const changed = await store.changes(names.config, copy.version, 0, this.signal)
     if (changed.isErr()) return undefined
-    const { next } = Table.empty.whole(copy.rows, copy.version).next.changed(changed.value.rows, changed.value.version)
+    const { next } = ReplicatedTable.empty.applySnapshot(copy.rows, copy.version).next.applyChanges(changed.value.rows, changed.value.version)
     return { rows: next.rows, version: changed.value.version, storeMs: changed.value.storeMs }
   }
 
@@ -221,10 +221,10 @@
     log.write(isFailed ? 'storeFailed' : 'storeBack', { table })
   }
 
-  private async write ({ value, erased }: Write): Promise<void> {
+  private async write ({ value, deletedKeys: erased }: Write): Promise<void> {
     const { store, names, self, metrics } = this.options
     metrics.storeCalls.inc({ call: 'write', table: 'roll', why: 'roll' })
-    const own = { table: names.roll, key: rollRow.keyOf(self.id), value }
+    const own = { table: names.roll, key: registryRow.keyOf(self.id), value }
     const written = await store.change([own, ...erased.map(key => ({ table: names.roll, key, value: undefined }))], this.signal)
     this.step({ kind: 'written', isDone: written.isOk() })
   }
@@ -233,7 +233,7 @@
     const opened = MessageLink.dial(link, {
       onOpen: () => this.step({ kind: 'opened', link }),
       onMessage: word => {
-        if (word.kind === 'rows' || word.kind === 'beat' || word.kind === 'welcome') this.step({ kind: 'told', link, word })
+        if (word.kind === 'rows' || word.kind === 'beat' || word.kind === 'welcome') this.step({ kind: 'told', link, message: word })
       },
       onEnd: () => {
         this.sources.delete(link)
@@ -250,7 +250,7 @@
       const link = ++this.links
       this.followers.set(link, MessageLink.of(socket, {
         onMessage: word => {
-          if (word.kind === 'follow' || word.kind === 'alive') this.step({ kind: 'spoke', link, word })
+          if (word.kind === 'follow' || word.kind === 'alive') this.step({ kind: 'spoke', link, message: word })
         },
         onEnd: () => {
           this.followers.delete(link)
--- a/src/shell/pool/node.ts
+++ b/src/shell/pool/node.ts
@@ -4,11 +4,11 @@
 import { permissionOf } from '../../core/pool/access/permission.ts'
 import type { PoolConfig } from '../../core/pool/config.ts'
 import type { LoadSnapshot } from '../../core/pool/load/loadsnapshot.ts'
-import { Pace } from '../../core/pool/membership/pace.ts'
+import { SyncTimings } from '../../core/pool/membership/synctimings.ts'
 import type { Row } from '../../core/pool/membership/row.ts'
 import type { TableName } from '../../core/pool/membership/tablename.ts'
 import type { PoolHost } from '../../core/pool/placing/host.ts'
-import { LineBudget } from '../../core/pool/statements/linebudget.ts'
+import { LogRateLimiter } from '../../core/pool/statements/logratelimiter.ts'
 import { UnreachableHosts } from '../../core/pool/placing/unreachablehosts.ts'
 import { SharedRetryBudget } from '../../core/retry/sharedretrybudget.ts'
 import { AllowanceService } from './allowance/allowanceservice.ts'
@@ -52,13 +52,13 @@
   private readonly startWaiters = Waiters.create()
   private readonly startedAt = clock.now()
 
-  private readonly pace: Pace
+  private readonly pace: SyncTimings
   private readonly allowanceService: AllowanceService | undefined
   private readonly reporter: LoadReporter | undefined
 
   private constructor (private readonly options: NodeOptions, private readonly signal: AbortSignal) {
     const { log, metrics } = options
-    this.pace = Pace.of(options)
+    this.pace = SyncTimings.of(options)
     this.allowanceService = options.allowances === undefined ? undefined : this.createAllowanceService(options.allowances)
     this.context = {
       config: () => this.config,
@@ -67,7 +67,7 @@
       catchUpConfig: async (version, host) => await this.catchUpConfig(version, host),
       permission: (route, key) => {
         const { config } = this
-        return permissionOf({ isOpen: config.isOpen(route), holder: config.holderOf(key), ageMs: this.tableReplicator.ageMs('config') }, this.pace)
+        return permissionOf({ isPublic: config.isPublic(route), holder: config.holderOf(key), ageMs: this.tableReplicator.ageMs('config') }, this.pace)
       },
       allowances: this.allowanceService?.allowances,
       forwardingTargets: (database, key) => this.forwardingTargets(database, key),
@@ -75,7 +75,7 @@
       dialHost: async (host, database, key, ms) => await options.platform.dialer.dialHost(host, database, this.config.version, key, ms),
       group: id => this.groups.get(id),
       retryBudget: SharedRetryBudget.create(clock.now()),
-      lineBudget: LineBudget.create(clock.now()),
+      lineBudget: LogRateLimiter.create(clock.now()),
       log,
       metrics,
       auditor: options.auditor
@@ -186,7 +186,7 @@
       bounds,
       port,
       isFirstStart,
-      trustMs: this.pace.sharedTrustMs,
+      trustMs: this.pace.maxSharedAgeMs,
       ageMs: () => this.tableReplicator.ageMs('shared'),
       team: id => this.config.team(id),
       hosts: () => this.hosts,
--- a/src/shell/pool/statements/auditor.ts
+++ b/src/shell/pool/statements/auditor.ts
@@ -1,6 +1,6 @@
 /** Makes the audit records of a process's sessions, and brings them to the object store. */
 
-import { auditRecordOf } from '../../../core/pool/statements/audited.ts'
+import { auditRecordOf } from '../../../core/pool/statements/auditrecord.ts'
 import { AuditId } from '../../../core/audit/id.ts'
 import { Batches } from '../../audit/batches.ts'
 
--- a/src/shell/pool/statements/congestionof.ts
+++ b/src/shell/pool/statements/congestionof.ts
@@ -1,6 +1,6 @@
 /** Looks at what a statement met that was refused for want of room. */
 
-import type { Met } from '../../../core/pool/statements/met.ts'
+import type { Congestion } from '../../../core/pool/statements/congestion.ts'
 import type { Fault } from '../../../core/statement/fault.ts'
 import { clock } from '../clock.ts'
 import type { PoolGroup } from '../group.ts'
@@ -16,7 +16,7 @@
 const MAX_ENDPOINTS = 4
 
 /** Undefined for a statement that was refused for another reason. */
-export function congestionOf ({ group, team, fault, retryAfterMs }: Refusal): Met | undefined {
+export function congestionOf ({ group, team, fault, retryAfterMs }: Refusal): Congestion | undefined {
   if (group === undefined || (fault !== 'busy' && fault !== 'overAllowance')) return undefined
   const leader = team === undefined ? undefined : group.usage.leader(clock.now())
   return {
--- a/src/shell/pool/statements/explanation.ts
+++ b/src/shell/pool/statements/explanation.ts
@@ -2,8 +2,8 @@
 
 import { classes } from '../../../core/admission/classes.ts'
 import type { Cause } from '../../../core/pool/statements/cause.ts'
-import type { Met } from '../../../core/pool/statements/met.ts'
-import type { Trail } from '../../../core/pool/statements/trail.ts'
+import type { Congestion } from '../../../core/pool/statements/congestion.ts'
+import type { TryHistory } from '../../../core/pool/statements/tryhistory.ts'
 import type { Reply } from '../../../core/statement/reply.ts'
 import type { Statement } from '../../../core/statement/statement.ts'
 import type { Token } from '../../../core/token.ts'
@@ -19,7 +19,7 @@
   readonly kind: Statement['kind'] | 'none'
   readonly database: string
   readonly reply: Reply
-  readonly trail: Trail
+  readonly trail: TryHistory
   readonly transaction: Transaction | undefined
   readonly newestCommit: Token
   readonly retryAfterMs: number
@@ -42,7 +42,7 @@
 }
 
 /** Counts the statement for who looks for whose load a group has; what it met when it was refused for want of room. */
-function countUsage (ctx: PoolContext, { database, caller, reply, trail, transaction, retryAfterMs }: Explained): Met | undefined {
+function countUsage (ctx: PoolContext, { database, caller, reply, trail, transaction, retryAfterMs }: Explained): Congestion | undefined {
   const config = ctx.config()
   const route = transaction?.route ?? config.route(database)
   const group = route === undefined ? undefined : ctx.group(route.group)
@@ -54,13 +54,13 @@
 }
 
 /** What this process answers by itself and takes, such as a value that is set, promises nothing that a record could show. */
-function record ({ auditor, config }: PoolContext, { id, session, caller, kind, database, reply, trail, transaction }: Explained, tookMs: number, met: Met | undefined): string | undefined {
+function record ({ auditor, config }: PoolContext, { id, session, caller, kind, database, reply, trail, transaction }: Explained, tookMs: number, met: Congestion | undefined): string | undefined {
   if (reply.kind === 'done' && trail.count === 0) return undefined
   const route = transaction?.route ?? config().route(database)
   return auditor?.take({ request: id, session, caller, kind, database, route, config: config().version, transaction: transaction?.id, trail, ending: reply.kind === 'done' ? 'done' : reply.fault, tookMs, met })
 }
 
-function logStatement (ctx: PoolContext, explained: Explained, ms: number, met: Met | undefined): void {
+function logStatement (ctx: PoolContext, explained: Explained, ms: number, met: Congestion | undefined): void {
   const { id, kind, database, reply, trail, cause } = explained
   const { log, lineBudget: lines, metrics } = ctx
   const outcome = reply.kind === 'done' ? 'done' : reply.fault
@@ -69,7 +69,7 @@
   if (trail.count > 0) metrics.statementSeconds.observe({ kind }, ms / 1000)
   const isPlain = outcome === 'done' && trail.count < 2
   if (isPlain && !lines.isSampled(id)) return
-  const { isGranted, dropped } = lines.take(clock.now())
+  const { isGranted, dropped } = lines.acquire(clock.now())
   if (!isGranted) return metrics.linesDropped.inc()
   if (dropped > 0) log.write('linesDropped', { dropped })
   log.write(outcome === 'done' ? 'statementDone' : 'statementRefused', {
@@ -83,7 +83,7 @@
 }
 
 /** Such as `class=normal team=red before="e0 5 at work, 0/12/40 wait" largest="blue 62%"`. */
-function textOf (ctx: PoolContext, explained: Explained, { team, endpoints, largest }: Met): Readonly<Record<string, string>> {
+function textOf (ctx: PoolContext, explained: Explained, { team, endpoints, largest }: Congestion): Readonly<Record<string, string>> {
   return {
     class: classOf(ctx, explained),
     team: team ?? 'none',
--- a/src/shell/pool/statements/operation.ts
+++ b/src/shell/pool/statements/operation.ts
@@ -5,8 +5,8 @@
 import type { KeyDigest } from '../../../core/pool/access/keydigest.ts'
 import type { Route } from '../../../core/pool/route.ts'
 import type { Target } from '../../../core/pool/statements/target.ts'
-import type { Trail } from '../../../core/pool/statements/trail.ts'
-import type { Work } from '../../../core/pool/statements/work.ts'
+import type { TryHistory } from '../../../core/pool/statements/tryhistory.ts'
+import type { EndpointStatement } from '../../../core/pool/statements/endpointstatement.ts'
 import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
 import type { Token } from '../../../core/token.ts'
@@ -15,14 +15,14 @@
 export interface Operation {
   readonly route: Route
   readonly database: string
-  readonly what: Work['what']
+  readonly what: EndpointStatement['what']
   readonly deadline: Instant
   /** Whether only the primary may do it. */
   readonly mustLead: boolean
   /** Whether another host may run it. */
   readonly mayDetour: boolean
   /** Whether it begins a caller's transaction. */
-  readonly isInside: boolean
+  readonly isInTransaction: boolean
   /** The session's newest commit, and what it has set and prepared. */
   readonly own: Token
   readonly values: SessionState
@@ -31,6 +31,6 @@
   /** Aborted once the caller has left. */
   readonly gone: AbortSignal
   /** Where each try is noted. */
-  readonly trail: Trail
+  readonly trail: TryHistory
   readonly run: (attempt: Attempt, target: Target) => Promise<Answer | Ending>
 }
--- a/src/shell/pool/statements/receipt.ts
+++ b/src/shell/pool/statements/receipt.ts
@@ -4,7 +4,7 @@
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { Instant } from '../../../core/id/instant.ts'
 import type { TeamId } from '../../../core/id/team.ts'
-import { Handover } from '../../../core/pool/succession/handover.ts'
+import { Handover } from '../../../core/pool/failover/handover.ts'
 import { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Token } from '../../../core/token.ts'
 import { Attempt } from '../lending/attempt.ts'
@@ -30,7 +30,7 @@
   const { commit, deadline } = options
   while (left(deadline) > 0) {
     const status = await statusOf(options)
-    const fate = status === undefined ? 'missing' : Handover.fateOf(commit, status)
+    const fate = status === undefined ? 'missing' : Handover.receiptOf(commit, status)
     if (fate !== 'missing') return fate === 'received'
     await pause(POLL_INTERVAL_MS)
   }
--- a/src/shell/pool/statements/retrywaits.ts
+++ b/src/shell/pool/statements/retrywaits.ts
@@ -1,8 +1,8 @@
 /** What one operation waits for between its tries, as its group's patience has it. */
 
 import type { Cause } from '../../../core/pool/statements/cause.ts'
-import type { Patience } from '../../../core/pool/statements/patience.ts'
-import type { Step } from '../../../core/pool/statements/step.ts'
+import type { RetryPolicy } from '../../../core/pool/statements/retrypolicy.ts'
+import type { RetryDecision } from '../../../core/pool/statements/retrydecision.ts'
 import type { PoolGroup } from '../group.ts'
 import type { PoolMetrics } from '../metrics.ts'
 import { Waiters } from '../waiters.ts'
@@ -33,12 +33,12 @@
 
   /** Whether nobody waits for the answer any more, so that nothing more is sent. */
   get isDropped (): boolean {
-    return this.group.retryPolicy.isDropped(this.tries.gone.aborted)
+    return this.group.retryPolicy.isAbandoned(this.tries.gone.aborted)
   }
 
   /** When what waits for a connection is to be given up; undefined where it isn't. */
   get gone (): AbortSignal | undefined {
-    return this.group.retryPolicy.isDropped(true) ? this.tries.gone : undefined
+    return this.group.retryPolicy.isAbandoned(true) ? this.tries.gone : undefined
   }
 
   /** To be called when the operation has its answer. */
@@ -54,7 +54,7 @@
     const expectedMs = outage.expectedMs()
     const waiting = outage.waiting - (this.leave === undefined ? 0 : 1)
     const step = group.retryPolicy.forLeader({
-      leftMs: left(deadline), serviceMs, statementMs: route.statementMs, missingMs, expectedMs, rank: route.rank, looks, waiting, connections
+      remainingMs: left(deadline), serviceMs, statementTimeoutMs: route.statementTimeoutMs, leaderlessMs: missingMs, expectedMs, rank: route.rank, timesWaited: looks, waiting, connections
     })
     this.looks++
     if (step.kind === 'wait') this.leave ??= outage.addWaiting()
@@ -82,17 +82,17 @@
 
   private async pause (what: Pause): Promise<WaitResult> {
     const { group, gone, tries: { deadline }, pauses } = this
-    const lack: Parameters<Patience['forRoom']>[0] = { leftMs: left(deadline), serviceMs: group.serviceMs, pauses, chance: group.chance() }
+    const lack: Parameters<RetryPolicy['forRoom']>[0] = { remainingMs: left(deadline), serviceMs: group.serviceMs, pauses, chance: group.chance() }
     this.pauses++
     const waiters = what === 'forReach' ? group.outage : Waiters.create()
     return await this.take(what, group.retryPolicy[what](lack), async ms => await waiters.wait(ms, gone))
   }
 
-  private async take (what: string, step: Step, wait: (ms: number) => Promise<void>): Promise<WaitResult> {
+  private async take (what: string, step: RetryDecision, wait: (ms: number) => Promise<void>): Promise<WaitResult> {
     if (step.kind === 'refuse') return { cause: step.cause, retryAfterMs: step.retryAfterMs }
     if (step.kind === 'go') return 'go'
     this.metrics.waits.inc({ what })
     await wait(step.ms)
-    return step.isAnew ? 'anew' : 'again'
+    return step.areRefusalsReset ? 'anew' : 'again'
   }
 }
--- a/src/shell/pool/statements/session.ts
+++ b/src/shell/pool/statements/session.ts
@@ -3,8 +3,8 @@
 import { randomBytes } from 'node:crypto'
 import type { Cause } from '../../../core/pool/statements/cause.ts'
 import { remedyOf } from '../../../core/pool/statements/remedy.ts'
-import { Trail } from '../../../core/pool/statements/trail.ts'
-import { Work } from '../../../core/pool/statements/work.ts'
+import { TryHistory } from '../../../core/pool/statements/tryhistory.ts'
+import { EndpointStatement } from '../../../core/pool/statements/endpointstatement.ts'
 import type { KeyDigest } from '../../../core/pool/access/keydigest.ts'
 import { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
@@ -39,7 +39,7 @@
   private isRunning = false
   private afterRun: (() => void) | undefined
   /** What was tried for the statement that runs. */
-  private trail = Trail.begin(clock.now())
+  private trail = TryHistory.begin(clock.now())
   private retryAfterMs = 0
   private cause: Cause | undefined
   private readonly gone = new AbortController()
@@ -68,7 +68,7 @@
     clearTimeout(this.idleTimer)
     const { transaction } = this
     this.isRunning = true
-    this.trail = Trail.begin(clock.now())
+    this.trail = TryHistory.begin(clock.now())
     this.retryAfterMs = 0
     this.cause = undefined
     const reply = await this.answer(id, statement)
@@ -82,7 +82,7 @@
 
   /** Refuses what isn't a statement. */
   reject (id: string): Reply {
-    this.trail = Trail.begin(clock.now())
+    this.trail = TryHistory.begin(clock.now())
     const reply = this.failInside({ fault: 'malformed', retryAfterMs: 0 })
     return this.recordReply(id, 'none', reply)
   }
@@ -152,7 +152,7 @@
   }
 
   private async send (id: string, statement: Statement): Promise<Reply> {
-    const work = Work.of(id, statement, this.values)
+    const work = EndpointStatement.of(id, statement, this.values)
     if (work === undefined) return this.failInside({ fault: 'unknownStatement', retryAfterMs: 0 })
     if (this.transaction !== undefined) return await this.sendInside(work, this.transaction)
     if (work.what === 'commit') return this.refuse({ fault: 'malformed', retryAfterMs: 0 })
@@ -164,7 +164,7 @@
     return this.done(run.answer)
   }
 
-  private async sendInside (work: Work, transaction: Transaction): Promise<Reply> {
+  private async sendInside (work: EndpointStatement, transaction: Transaction): Promise<Reply> {
     const run = await this.runner.runInTransaction(work, transaction, this.trail)
     if (!('answer' in run)) return this.failInside(run, work.what === 'commit')
     transaction.recordRun(run.attempt, work.what)
--- a/src/shell/pool/statements/statementrunner.ts
+++ b/src/shell/pool/statements/statementrunner.ts
@@ -5,9 +5,9 @@
 import type { KeyDigest } from '../../../core/pool/access/keydigest.ts'
 import type { Route } from '../../../core/pool/route.ts'
 import type { Target } from '../../../core/pool/statements/target.ts'
-import type { Trail } from '../../../core/pool/statements/trail.ts'
+import type { TryHistory } from '../../../core/pool/statements/tryhistory.ts'
 import { verdictOf } from '../../../core/pool/statements/verdict.ts'
-import type { Work } from '../../../core/pool/statements/work.ts'
+import type { EndpointStatement } from '../../../core/pool/statements/endpointstatement.ts'
 import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
 import { Token } from '../../../core/token.ts'
@@ -39,18 +39,18 @@
   }
 
   /** A statement outside of any transaction. */
-  async runSingle (work: Work, route: Route, trail: Trail): Promise<Run> {
-    const deadline = clock.now() + route.statementMs as Instant
+  async runSingle (work: EndpointStatement, route: Route, trail: TryHistory): Promise<Run> {
+    const deadline = clock.now() + route.statementTimeoutMs as Instant
     const mustLead = work.what === 'write' || this.readsAtPrimary(route)
     const run = async (attempt: Attempt, target: Target) => {
       const answer = await this.runOn(attempt, target, work, deadline)
       attempt.release()
       return work.what === 'write' ? await this.kept(attempt, answer, work, deadline, trail) : answer
     }
-    return await tryAll(this.ctx, { ...this.common(route, work, deadline, trail), mustLead, isInside: false, run })
+    return await tryAll(this.ctx, { ...this.common(route, work, deadline, trail), mustLead, isInTransaction: false, run })
   }
 
-  private common (route: Route, work: Work, deadline: Instant, trail: Trail): Pick<Operation, 'route' | 'database' | 'what' | 'deadline' | 'own' | 'values' | 'key' | 'mayDetour' | 'gone' | 'trail'> {
+  private common (route: Route, work: EndpointStatement, deadline: Instant, trail: TryHistory): Pick<Operation, 'route' | 'database' | 'what' | 'deadline' | 'own' | 'values' | 'key' | 'mayDetour' | 'gone' | 'trail'> {
     const { database, newestCommit: own, values, key, mayForward: mayDetour, gone } = this
     return { route, database, what: work.what, deadline, own, values, key, mayDetour, gone, trail }
   }
@@ -60,9 +60,9 @@
   }
 
   /** A statement of a transaction, on its connection or, as the first, on one that it brings. */
-  async runInTransaction (work: Work, transaction: Transaction, trail: Trail): Promise<Run> {
+  async runInTransaction (work: EndpointStatement, transaction: Transaction, trail: TryHistory): Promise<Run> {
     const { route, attempt } = transaction
-    const deadline = clock.now() + route.statementMs as Instant
+    const deadline = clock.now() + route.statementTimeoutMs as Instant
     return attempt === undefined ? await this.runFirst(work, transaction, deadline, trail) : await this.runNext(work, transaction, attempt, deadline, trail)
   }
 
@@ -73,8 +73,8 @@
   }
 
   /** A read that only the primary may serve runs inside of a transaction of our own, which an endpoint that doesn't lead any more refuses. */
-  private async runOn (attempt: Attempt, target: Target, work: Work, deadline: Instant): Promise<Answer | Ending> {
-    const prelude = work.preludeOn(attempt.link.values, this.values)
+  private async runOn (attempt: Attempt, target: Target, work: EndpointStatement, deadline: Instant): Promise<Answer | Ending> {
+    const prelude = work.setupCommands(attempt.link.values, this.values)
     const isRead = work.what === 'read'
     if (!isRead || !target.mustLead) {
       return await attempt.ask([...prelude, work.command(target.after)], prelude.length, left(deadline), !isRead)
@@ -88,7 +88,7 @@
    * The first statement brings the connection: until it ran, another endpoint may
    * be tried. A commit of nothing proves no lead, since an endpoint that lost it takes that too.
    */
-  private async runFirst (work: Work, transaction: Transaction, deadline: Instant, trail: Trail): Promise<Run> {
+  private async runFirst (work: EndpointStatement, transaction: Transaction, deadline: Instant, trail: TryHistory): Promise<Run> {
     const { route, isReadOnly } = transaction
     const mustLead = !isReadOnly || this.readsAtPrimary(route)
     const run = async (attempt: Attempt, target: Target) => {
@@ -97,18 +97,18 @@
       if (typeof answer === 'string') attempt.release()
       return answer
     }
-    return await tryAll(this.ctx, { ...this.common(route, work, deadline, trail), mustLead, isInside: true, run })
+    return await tryAll(this.ctx, { ...this.common(route, work, deadline, trail), mustLead, isInTransaction: true, run })
   }
 
   /** A statement never goes before the answer to its BEGIN: were that refused, it would run outside of any transaction. */
-  private async beginOn (attempt: Attempt, target: Target, work: Work, deadline: Instant): Promise<Answer | Ending> {
-    const prelude = work.preludeOn(attempt.link.values, this.values)
+  private async beginOn (attempt: Attempt, target: Target, work: EndpointStatement, deadline: Instant): Promise<Answer | Ending> {
+    const prelude = work.setupCommands(attempt.link.values, this.values)
     const { mustLead, after } = target
     return await attempt.ask([...prelude, { kind: 'begin', isReadOnly: !mustLead, after }], prelude.length, left(deadline), mustLead)
   }
 
-  private async runNext (work: Work, transaction: Transaction, attempt: Attempt, deadline: Instant, trail: Trail): Promise<Run> {
-    const prelude = work.preludeOn(attempt.link.values, this.values)
+  private async runNext (work: EndpointStatement, transaction: Transaction, attempt: Attempt, deadline: Instant, trail: TryHistory): Promise<Run> {
+    const prelude = work.setupCommands(attempt.link.values, this.values)
     const { hasWritten } = transaction
     const isLead = transaction.requiresLeader && (work.what !== 'commit' || hasWritten)
     const began = clock.now()
@@ -117,7 +117,7 @@
     recordTry(this.ctx, trail, {
       endpoint: attempt.endpoint,
       what: work.what,
-      isInside: true,
+      isInTransaction: true,
       hasWritten,
       mustLead: isLead,
       ending: isDone ? 'done' : answer,
@@ -127,12 +127,12 @@
     })
     const kept = work.what === 'commit' && hasWritten ? await this.kept(attempt, answer, work, deadline, trail) : answer
     if (typeof kept !== 'string') return { answer: kept, attempt }
-    const verdict = verdictOf(kept, { what: work.what, isInside: true, isFirst: false, hasWritten })
+    const verdict = verdictOf(kept, { what: work.what, isInTransaction: true, isFirst: false, hasWritten })
     return { fault: verdict.kind === 'refuse' ? verdict.fault : 'aborted', retryAfterMs: 0 }
   }
 
   /** What was committed while its primary hands over is done once the successor has it; else nobody can tell whether it's kept. */
-  private async kept (attempt: Attempt, answer: Answer | Ending, work: Work, deadline: Instant, trail: Trail): Promise<Answer | Ending> {
+  private async kept (attempt: Attempt, answer: Answer | Ending, work: EndpointStatement, deadline: Instant, trail: TryHistory): Promise<Answer | Ending> {
     const successor = attempt.group.successorOf(attempt.endpoint)
     if (typeof answer === 'string' || successor === undefined) return answer
     if (answer.position === undefined) return 'outOfTime'
@@ -143,7 +143,7 @@
     recordTry(ctx, trail, {
       endpoint: successor,
       what: work.what,
-      isInside: work.what === 'commit',
+      isInTransaction: work.what === 'commit',
       hasWritten: true,
       mustLead: false,
       ending: isKept ? 'received' : 'not received',
--- a/src/shell/pool/statements/tryall.ts
+++ b/src/shell/pool/statements/tryall.ts
@@ -56,7 +56,7 @@
   let last: Refusal = { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS }
   const tried = new Set<EndpointId>()
   const full = new Set<EndpointId>()
-  for (let count = 0; count < group.retryPolicy.mostTries(group.endpoints.length) && left(deadline) > 0;) {
+  for (let count = 0; count < group.retryPolicy.maxTries(group.endpoints.length) && left(deadline) > 0;) {
     if (waits.isDropped) return { ...last, cause: 'left' }
     const target = await nextTarget(group, { mustLead, freshness, newestCommit: own, team: gate.team?.id, mayForward: mayDetour, tried, leftMs: left(deadline) })
     const way = await waitForTarget(target, full, waits)
@@ -104,7 +104,7 @@
   const { after, mustLead } = target
   const endpoint = target.via === undefined ? target.endpoint : ForwardedSource.by(target.via).endpoint.id
   const note = (ending: string, position?: Token) => recordTry(ctx, tries.trail, {
-    endpoint, after, mustLead, what: tries.what, isInside: tries.isInside, hasWritten: false, ending, position, ms: clock.now() - began
+    endpoint, after, mustLead, what: tries.what, isInTransaction: tries.isInTransaction, hasWritten: false, ending, position, ms: clock.now() - began
   })
   const refused = target.via === undefined ? await fetchToken(gate, tries) : undefined
   if (refused !== undefined) return { kind: 'refused', refused }
@@ -117,7 +117,7 @@
     attempt.release()
     return { kind: 'refused', refused: { fault: 'busy', retryAfterMs: 0, cause: 'left' } }
   }
-  const unwatch = group.retryPolicy.isCutOff(tries) && target.via === undefined ? group.watchers.watch(target.endpoint, () => attempt.link.close()) : undefined
+  const unwatch = group.retryPolicy.isRetriedElsewhere(tries) && target.via === undefined ? group.watchers.watch(target.endpoint, () => attempt.link.close()) : undefined
   const sentAt = clock.now()
   const answer = await tries.run(attempt, target)
   unwatch?.()
@@ -138,12 +138,12 @@
  */
 function resultWithoutConnection (group: PoolGroup, refused: Refusal, { endpoint, mustLead, via }: Target): AttemptResult {
   if (!mustLead) return { kind: 'elsewhere', refused }
-  const isInDoubt = via === undefined && (refused.cause === 'unreachable' || group.contact(endpoint).isDoubtful(clock.now()))
+  const isInDoubt = via === undefined && (refused.cause === 'unreachable' || group.contact(endpoint).isSuspect(clock.now()))
   return isInDoubt ? { kind: 'short', of: 'forReach', refused } : { kind: 'refused', refused }
 }
 
-function resultOfEnding (ctx: PoolContext, ending: Ending, { what, isInside }: Operation): AttemptResult {
-  const verdict = verdictOf(ending, { what, isInside, isFirst: true, hasWritten: false })
+function resultOfEnding (ctx: PoolContext, ending: Ending, { what, isInTransaction: isInside }: Operation): AttemptResult {
+  const verdict = verdictOf(ending, { what, isInTransaction: isInside, isFirst: true, hasWritten: false })
   if (verdict.kind === 'refuse') return { kind: 'refused', refused: { fault: verdict.fault, retryAfterMs: 0 } }
   const refused: Refusal = { fault: faultOf(ending), retryAfterMs: LEADERLESS_RETRY_MS, cause: ending === 'busy' ? 'full' : undefined }
   // Being sent on by an endpoint that knows better costs no work there, so it takes nothing of the budget.
@@ -161,11 +161,11 @@
 
 const CAUSES: Readonly<Record<'busy' | 'unreachable', Cause>> = { busy: 'queue', unreachable: 'unreachable' }
 
-async function borrow (group: PoolGroup, target: Target, { route, database, deadline, isInside, values }: Operation, gate: Gate, gone: AbortSignal | undefined): Promise<Attempt | Refusal> {
+async function borrow (group: PoolGroup, target: Target, { route, database, deadline, isInTransaction: isInside, values }: Operation, gate: Gate, gone: AbortSignal | undefined): Promise<Attempt | Refusal> {
   const team = gate.team?.id
   const lender = group.connectionPool(target.endpoint)
   if (lender === undefined) return { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS }
-  const borrowed = await lender.borrow({ rank: route.rank, caller: team ?? database, team, leftMs: left(deadline), aimMs: left(deadline) - route.statementMs + route.aimMs * START_SHARE, isTransaction: isInside, values, gone })
+  const borrowed = await lender.borrow({ rank: route.rank, caller: team ?? database, team, leftMs: left(deadline), aimMs: left(deadline) - route.statementTimeoutMs + route.aimMs * START_SHARE, isTransaction: isInside, values, gone })
   if (borrowed.isOk()) return Attempt.on(group, lender, borrowed.value, gate)
   return { fault: 'busy', retryAfterMs: borrowed.error.retryAfterMs, cause: CAUSES[borrowed.error.reason] }
 }
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -6,7 +6,7 @@
 
 import { describe, expect, it } from 'vitest'
 import type { Instant } from '../src/core/id/instant.ts'
-import { Pace } from '../src/core/pool/membership/pace.ts'
+import { SyncTimings } from '../src/core/pool/membership/synctimings.ts'
 import { ControlWorld } from './control/world.ts'
 import type { ModelHost } from './control/host.ts'
 
@@ -49,7 +49,7 @@
   it('all start at once, with few calls, and each knows all', () => {
     // The store is asked seven times by each host that starts, and by each host again every few seconds, so calls grow with the hosts.
     const world = worldOf(size)
-    expect(world.hosts.every(({ control }) => control.isKnown && control.hosts.length === size)).toBe(true)
+    expect(world.hosts.every(({ control }) => control.hasAllTables && control.hosts.length === size)).toBe(true)
     expect(world.store.sum).toBeLessThan(size * 1.5 + 300)
   })
 
@@ -67,7 +67,7 @@
     const world = worldOf(size)
     for (const host of world.hosts) host.oldestMs = 0
     world.run(60_000)
-    const { trustMs, freshMs } = Pace.of({ applyMs: APPLY_MS, drainMs: 10_000, historyMs: 20_000, revokeMs: APPLY_MS })
+    const { maxConfigAgeMs: trustMs, normalConfigAgeMs: freshMs } = SyncTimings.of({ applyMs: APPLY_MS, drainMs: 10_000, historyMs: 20_000, revokeMs: APPLY_MS })
     expect(Math.max(...world.hosts.map(({ oldestMs }) => oldestMs))).toBeLessThan(freshMs)
     expect(freshMs).toBeLessThan(trustMs)
   })
@@ -81,7 +81,7 @@
     for (const other of world.hosts) world.cuts.add(`${other.id}>${alone.id}`)
     world.store.put('config', 'config', String(world.store.version + 1))
     world.run(8000)
-    const { trustMs } = Pace.of({ applyMs: APPLY_MS, drainMs: 10_000, historyMs: 20_000, revokeMs: APPLY_MS })
+    const { maxConfigAgeMs: trustMs } = SyncTimings.of({ applyMs: APPLY_MS, drainMs: 10_000, historyMs: 20_000, revokeMs: APPLY_MS })
     frozen.oldestMs = 0
     frozen.thaw()
     world.run(1)
@@ -159,7 +159,7 @@
       })
     }
     world.run(size * 100 + 5000)
-    expect(world.hosts.every(({ control }) => control.isKnown)).toBe(true)
+    expect(world.hosts.every(({ control }) => control.hasAllTables)).toBe(true)
     // A part of it is the readers' (a third of 30 hosts), whose number doesn't grow.
     expect((world.store.sum - sum) / size).toBeLessThan(size === 30 ? 18 : 9)
     expectSound(world)
--- a/test/control/host.ts
+++ b/test/control/host.ts
@@ -1,12 +1,12 @@
 /** One host in virtual time: the product's control, and what carries out its actions. */
 
-import { Control } from '../../src/core/pool/membership/control.ts'
-import type { ControlAction } from '../../src/core/pool/membership/controlaction.ts'
-import type { ControlEvent } from '../../src/core/pool/membership/controlevent.ts'
+import { TableSync } from '../../src/core/pool/membership/tablesync.ts'
+import type { SyncAction } from '../../src/core/pool/membership/syncaction.ts'
+import type { SyncEvent } from '../../src/core/pool/membership/syncevent.ts'
 import type { HostEntry } from '../../src/core/pool/membership/hostentry.ts'
 import type { LinkId } from '../../src/core/pool/membership/linkid.ts'
-import { rollRow } from '../../src/core/pool/membership/rollrow.ts'
-import type { Pace } from '../../src/core/pool/membership/pace.ts'
+import { registryRow } from '../../src/core/pool/membership/registryrow.ts'
+import type { SyncTimings } from '../../src/core/pool/membership/synctimings.ts'
 import type { Instant } from '../../src/core/id/instant.ts'
 import type { HostId } from '../../src/core/id/host.ts'
 import type { ControlWorld } from './world.ts'
@@ -18,11 +18,11 @@
   readonly seeds: readonly LinkId[]
   readonly isSeed: boolean
   readonly isFirstStart: boolean
-  readonly pace: Pace
+  readonly pace: SyncTimings
 }
 
 export class ModelHost {
-  control: Control
+  control: TableSync
   isUp = true
   isFrozen = false
   /** Its questions to the store get no answer. */
@@ -36,13 +36,13 @@
   oldestMs = 0
   /** When it became able to serve. */
   knownAt: number | undefined
-  private waiting: ControlEvent[] = []
+  private waiting: SyncEvent[] = []
   private frozenAt = 0
   private hiddenMs = 0
   private leaps = 0
 
   constructor (private readonly world: ControlWorld, readonly options: Options) {
-    this.control = Control.create(options, world.now as Instant)
+    this.control = TableSync.create(options, world.now as Instant)
     this.tick()
   }
 
@@ -50,7 +50,7 @@
     return this.options.self.id
   }
 
-  step (event: ControlEvent): void {
+  step (event: SyncEvent): void {
     if (!this.isUp) return
     if (this.isFrozen) {
       this.waiting.push(event)
@@ -58,7 +58,7 @@
     }
     const { next, actions } = this.control.step(event, this.world.chance(), this.now, this.age)
     this.control = next
-    if (next.isKnown) this.knownAt ??= this.world.now
+    if (next.hasAllTables) this.knownAt ??= this.world.now
     for (const action of actions) this.act(action)
     this.judgeAge()
   }
@@ -90,7 +90,7 @@
     this.world.agenda.add(TICK_MS, () => this.tick())
   }
 
-  private act (action: ControlAction): void {
+  private act (action: SyncAction): void {
     const { world } = this
     switch (action.kind) {
       case 'news': {
@@ -101,21 +101,21 @@
       case 'ask': return this.ask(action)
       case 'write': {
         if (this.isCutFromStore) return world.agenda.add(CUT_MS, () => this.step({ kind: 'written', isDone: false }))
-        return world.store.write(rollRow.keyOf(this.id), action.value, action.erased, isDone => this.step({ kind: 'written', isDone }))
+        return world.store.write(registryRow.keyOf(this.id), action.value, action.deletedKeys, isDone => this.step({ kind: 'written', isDone }))
       }
       case 'copy': return world.agenda.add(CUT_MS, () => this.step({ kind: 'copied', isDone: true }))
       case 'open': return world.open(this, action.link)
       case 'close': return world.close(this, action.link)
-      case 'say': return world.say(this, action.link, action.word)
-      case 'tell': return world.tell(this, action.link, action.word)
+      case 'say': return world.say(this, action.link, action.message)
+      case 'tell': return world.tell(this, action.link, action.message)
       case 'drop': return world.drop(this, action.link)
     }
   }
 
-  private ask ({ table, after, waitMs }: Extract<ControlAction, { kind: 'ask' }>): void {
+  private ask ({ table, after, waitMs }: Extract<SyncAction, { kind: 'ask' }>): void {
     const { world } = this
     let isOver = false
-    const end = (event: ControlEvent) => {
+    const end = (event: SyncEvent) => {
       if (isOver) return
       isOver = true
       this.step(event)
@@ -126,7 +126,7 @@
     const askedAt = this.age
     world.store.ask(table, after, waitMs, answer => {
       if (wasCut || this.isCutFromStore) return
-      end(answer.kind === 'rows' ? { kind: 'answered', table, isWhole: after === undefined, rows: answer.rows, version: answer.version, askedAt, storeMs: answer.storeMs } : { kind: answer.kind, table })
+      end(answer.kind === 'rows' ? { kind: 'answered', table, isWhole: after === undefined, rows: answer.rows, version: answer.version, sentAt: askedAt, storeMs: answer.storeMs } : { kind: answer.kind, table })
     })
   }
 
--- a/test/control/world.ts
+++ b/test/control/world.ts
@@ -4,9 +4,9 @@
 import type { DataCentreId } from '../../src/core/id/datacentre.ts'
 import type { HostId } from '../../src/core/id/host.ts'
 import type { LinkId } from '../../src/core/pool/membership/linkid.ts'
-import { Pace } from '../../src/core/pool/membership/pace.ts'
+import { SyncTimings } from '../../src/core/pool/membership/synctimings.ts'
 import { linkOf } from '../../src/core/pool/membership/linkof.ts'
-import type { Word } from '../../src/core/pool/membership/word.ts'
+import type { SyncMessage } from '../../src/core/pool/membership/syncmessage.ts'
 import { mix } from '../../src/core/mix.ts'
 import { ModelHost } from './host.ts'
 import { ModelStore } from './store.ts'
@@ -44,7 +44,7 @@
   private readonly links = new Map<number, Link>()
   /** The same, by who opened them. */
   private readonly opened = new Map<ModelHost, Map<LinkId, Link>>()
-  private readonly sizes = new WeakMap<Word, number>()
+  private readonly sizes = new WeakMap<SyncMessage, number>()
   private number = 0
   private draws = 0
 
@@ -72,7 +72,7 @@
     const named = Array.from({ length: seeds }, (_, n) => linkOf(entryOf(n, 1)))
     const entry = entryOf(i, incarnation)
     const own = linkOf(entry)
-    this.hosts[i] = new ModelHost(this, { self: entry, seeds: named.filter(seed => seed !== own), isSeed: named.includes(own), isFirstStart: incarnation === 1, pace: Pace.of({ applyMs, drainMs: 10_000, historyMs: 20_000 }) })
+    this.hosts[i] = new ModelHost(this, { self: entry, seeds: named.filter(seed => seed !== own), isSeed: named.includes(own), isFirstStart: incarnation === 1, pace: SyncTimings.of({ applyMs, drainMs: 10_000, historyMs: 20_000 }) })
   }
 
   /** For how long the store has had a newer configuration than the version, in milliseconds; 0 when it has none. */
@@ -136,23 +136,23 @@
     this.later(to, link.from, () => link.from.step({ kind: 'lost', link: link.id }))
   }
 
-  say (from: ModelHost, id: LinkId, word: Extract<Word, { kind: 'follow' | 'alive' }>): void {
+  say (from: ModelHost, id: LinkId, word: Extract<SyncMessage, { kind: 'follow' | 'alive' }>): void {
     const link = this.linkOf(from, id)
     if (link === undefined) return
     this.count(word)
-    this.later(from, link.to, () => link.to.step({ kind: 'spoke', link: link.number, word }))
+    this.later(from, link.to, () => link.to.step({ kind: 'spoke', link: link.number, message: word }))
   }
 
-  tell (to: ModelHost, number: number, word: Extract<Word, { kind: 'rows' | 'beat' | 'welcome' }>): void {
+  tell (to: ModelHost, number: number, word: Extract<SyncMessage, { kind: 'rows' | 'beat' | 'welcome' }>): void {
     const link = this.links.get(number)
     if (link === undefined) return
     this.count(word)
     this.later(to, link.from, () => {
-      if (this.links.has(number)) link.from.step({ kind: 'told', link: link.id, word })
+      if (this.links.has(number)) link.from.step({ kind: 'told', link: link.id, message: word })
     })
   }
 
-  private count (word: Word): void {
+  private count (word: SyncMessage): void {
     this.said.words++
     this.sizes.set(word, this.sizes.get(word) ?? JSON.stringify(word).length)
     this.said.characters += this.sizes.get(word)!
