--- a/src/core/audit/batcher.test.ts
+++ b/src/core/audit/batcher.test.ts
@@ -60,7 +60,7 @@
     // A fleet of many hosts with little work each makes more calls to the store for its records than for anything else.
     // Each host cuts a batch as soon as its first record is old, however few others came.
     const isCut = [1000, 2000, 4000].map(now => {
-      const it = batcher({ records: 100, ageMs: 2000, few: { records: 2, ageMs: 4000 } })
+      const it = batcher({ records: 100, ageMs: 2000, smallBatch: { records: 2, ageMs: 4000 } })
       for (let count = 1; count <= records; count++) it.add(record(count), 0)
       return it.tick(now) !== undefined
     })
--- a/src/core/pool/membership/tablesync.ts
+++ b/src/core/pool/membership/tablesync.ts
@@ -149,7 +149,7 @@
   const { questions, pace, heartbeatAt: beatAt } = state
   const staleness = state.staleness.withClockSample(askedAt, storeMs).withAsOf({ [table]: storeMs })
   const restMs = table === 'roll' && rows.length > 0 ? REGISTRY_QUERY_DELAY_MS : 0
-  const next = { ...state, soundness: staleness, questions: { ...questions, [table]: questions[table].answered(now, restMs) } }
+  const next = { ...state, staleness, questions: { ...questions, [table]: questions[table].answered(now, restMs) } }
   // Those who wait to hear that the store answers again are told at once.
   const wasLate = latenessOf(state, now).ownLateMs > pace.answerMs
   return applyRows({ ...next, heartbeatAt: wasLate ? NEVER : beatAt }, { table, isWhole, rows, version }, now)
--- a/src/shell/pool/context.ts
+++ b/src/shell/pool/context.ts
@@ -12,7 +12,7 @@
 import type { Log } from '../log/log.ts'
 import type { Auditor } from './statements/auditor.ts'
 import type { Allowances } from './allowance/allowances.ts'
-import type { Dialer } from './lending/dialer.ts'
+import type { Dialer } from './connections/dialer.ts'
 import type { PoolGroup } from './group.ts'
 import type { PoolMetrics } from './metrics.ts'
 
--- a/src/shell/pool/failover/probes.ts
+++ b/src/shell/pool/failover/probes.ts
@@ -4,8 +4,8 @@
 import type { Command } from '../../../core/statement/command.ts'
 import type { EndpointStatus } from '../../../core/statement/endpointstatus.ts'
 import { clock } from '../clock.ts'
-import type { Dialer } from '../lending/dialer.ts'
-import type { DialFault } from '../lending/dialfault.ts'
+import type { Dialer } from '../connections/dialer.ts'
+import type { DialFault } from '../connections/dialfault.ts'
 import type { PoolGroup } from '../group.ts'
 
 /** How long an endpoint has to answer: a connection, and a place in its queue. */
--- a/src/shell/pool/platform.ts
+++ b/src/shell/pool/platform.ts
@@ -3,7 +3,7 @@
 import type { Result } from 'neverthrow'
 import type { Endpoint } from '../../core/directory/endpoint.ts'
 import type { PoolConfig } from '../../core/pool/config.ts'
-import type { Dialer } from './lending/dialer.ts'
+import type { Dialer } from './connections/dialer.ts'
 import type { PromotionOrders } from './failover/orders.ts'
 import type { RowStore } from './membership/rowstore.ts'
 
--- a/src/shell/pool/readrouter.ts
+++ b/src/shell/pool/readrouter.ts
@@ -16,7 +16,7 @@
 import type { Token } from '../../core/token.ts'
 import type { Log } from '../log/log.ts'
 import { clock } from './clock.ts'
-import type { ConnectionPool } from './lending/connectionpool.ts'
+import type { ConnectionPool } from './connections/connectionpool.ts'
 import type { PoolMetrics } from './metrics.ts'
 
 interface Options {
--- a/src/shell/pool/statements/auditor.ts
+++ b/src/shell/pool/statements/auditor.ts
@@ -13,7 +13,7 @@
  * would else make most of all calls. The buffer holds an hour's outage at ten statements a
  * second (250 characters a record), within a twentieth of the memory that hosts have.
  */
-const LIMITS = { records: 5000, bytes: 1_048_576, ageMs: 10_000, few: { records: 500, ageMs: 30_000 }, bufferBytes: 8_388_608 }
+const LIMITS = { records: 5000, bytes: 1_048_576, ageMs: 10_000, smallBatch: { records: 500, ageMs: 30_000 }, bufferBytes: 8_388_608 }
 /**
  * What statements leave is made into records so much later: a process that has just started serves those who
  * wait for it first. More than so many are dropped and counted, as at a hundred times the planned load of a host.
--- a/src/shell/pool/statements/operation.ts
+++ b/src/shell/pool/statements/operation.ts
@@ -10,7 +10,7 @@
 import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
 import type { Token } from '../../../core/token.ts'
-import type { Attempt } from '../lending/attempt.ts'
+import type { Attempt } from '../connections/attempt.ts'
 
 export interface Operation {
   readonly route: Route
--- a/src/shell/pool/statements/receipt.ts
+++ b/src/shell/pool/statements/receipt.ts
@@ -7,7 +7,7 @@
 import { Handover } from '../../../core/pool/failover/handover.ts'
 import { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Token } from '../../../core/token.ts'
-import { Attempt } from '../lending/attempt.ts'
+import { Attempt } from '../connections/attempt.ts'
 import type { PoolGroup } from '../group.ts'
 import { left } from './left.ts'
 
--- a/src/shell/pool/statements/statementrunner.ts
+++ b/src/shell/pool/statements/statementrunner.ts
@@ -11,7 +11,7 @@
 import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { Answer } from '../../../core/statement/answer.ts'
 import { Token } from '../../../core/token.ts'
-import type { Attempt } from '../lending/attempt.ts'
+import type { Attempt } from '../connections/attempt.ts'
 import { clock } from '../clock.ts'
 import type { PoolContext } from '../context.ts'
 import { left } from './left.ts'
--- a/src/shell/pool/statements/transaction.ts
+++ b/src/shell/pool/statements/transaction.ts
@@ -1,7 +1,7 @@
 /** A caller's open transaction, and the connection that it holds from its first statement on. */
 
 import type { Route } from '../../../core/pool/route.ts'
-import type { Attempt } from '../lending/attempt.ts'
+import type { Attempt } from '../connections/attempt.ts'
 
 type State = 'open' | 'aborted' | 'failed'
 
