--- a/src/core/pool/health/assessendpoint.ts
+++ b/src/core/pool/health/assessendpoint.ts
@@ -1,28 +1,28 @@
 /** Whether an endpoint serves reads clearly worse than the others of its group. */
 
-/** What all owners that are known of got from one endpoint. */
+/** Means over all owners that are known. */
 interface EndpointStats {
   readonly isPrimary: boolean
-  /** The mean time to an answer, in milliseconds; undefined when none came lately. */
+  /** Mean time to an answer, in milliseconds; undefined if none came lately. */
   readonly answerMs: number | undefined
-  /** The part that failed or ended without an answer; from 0 to 1. */
+  /** Fraction that failed or ended without an answer, from 0 to 1. */
   readonly failing: number
 }
 
 type Assessment = 'bad' | 'fair' | 'well'
 
-/** Of three endpoints that share the reads, one that fails this part more uses up the one retry that each ten statements may have. */
+/** With three endpoints sharing the reads, one that fails this much more uses up the whole retry budget of one retry for ten statements. */
 const BAD_EXCESS_FAILURE_RATE = 0.3
-/** Well again at half of it, so that chance alone doesn't carry an endpoint to and fro. */
+/** Half of the former, so that chance alone doesn't make an endpoint oscillate. */
 const WELL_EXCESS_FAILURE_RATE = BAD_EXCESS_FAILURE_RATE / 2
-/** One that takes so many times as long: the others finish two reads and begin the third meanwhile, so each read goes there in vain. */
+/** At this ratio the other endpoints finish two reads and begin a third in the same time. */
 const BAD_LATENCY_RATIO = 3
 const WELL_LATENCY_RATIO = 2
 
 /**
- * Judged by what callers get, and not by what the endpoint says of itself: one may say that it's well and fail, or be slow. Always against the best of the others, so that a group
- * which is slow or fails as a whole, as under load or by a bad statement, has no outlier. A primary's time is no measure, since its statements are
- * others than a replica's. One that wasn't heard of lately isn't well yet.
+ * Uses what callers experience rather than what the endpoint says of itself: it may report good health and yet fail or be slow. The comparison is with the
+ * best of the other endpoints, so a group that is slow or failing as a whole, by load or a bad statement, has no outlier. A primary's response time isn't
+ * compared, since its statements differ from those of replicas. An endpoint without a recent answer isn't well yet.
  */
 export function assessEndpoint (one: EndpointStats, others: readonly EndpointStats[]): Assessment {
   const excess = one.failing - Math.min(...others.map(({ failing }) => failing))
@@ -37,5 +37,5 @@
   return one.answerMs / Math.max(MIN_LATENCY_MS, Math.min(...known))
 }
 
-/** Below this, times differ by the way and not by the endpoint. */
+/** Below this, times differ by the network rather than by the endpoint. */
 const MIN_LATENCY_MS = 5
--- a/src/core/pool/health/grouphealth.ts
+++ b/src/core/pool/health/grouphealth.ts
@@ -1,4 +1,4 @@
-/** What this owner makes of a group's endpoints: who is well, who is put aside for reads, and who is to be tried again. */
+/** What this owner knows of the health of a group's endpoints: which are well, which are ejected from reads, and which are due for a trial read. */
 
 import type { EndpointId } from '../../id/endpoint.ts'
 import type { Instant } from '../../id/instant.ts'
@@ -23,19 +23,22 @@
 interface EjectionChange {
   readonly id: EndpointId
   readonly isEjected: boolean
-  /** Over all owners. */
+  /** Mean over all owners. */
   readonly failing: number
   readonly answerMs: number | undefined
 }
 
 type Outcome = 'done' | 'failed' | 'notRun'
 
-/** About as old as the others' reports are; between two looks hardly anything changes. */
+/** About the age of the other owners' reports, so more often would change little. */
 const EVALUATION_INTERVAL_MS = 50
-/** An endpoint that is put aside is tried so often by all owners together: enough to know within half a second that it's well, and few enough for one that is many times slower. */
+/**
+ * Interval of trial reads of all owners together at an ejected endpoint: enough to notice within half a second that it has recovered, and few enough for
+ * an endpoint that is many times slower.
+ */
 const TRIAL_INTERVAL_MS = 100
 
-/** Changes in place: it's touched by every statement. */
+/** Changes in place, with every statement. */
 export class GroupHealth {
   private readonly endpoints = new Map<EndpointId, EndpointState>()
   private evaluatedAt = -Infinity
@@ -55,18 +58,21 @@
     return this.endpoints.get(id)?.atWork ?? 0
   }
 
-  /** A statement goes out; the answer is to be called with how it ended. `crowd`: statements there for each place, with this one. */
-  sent (id: EndpointId, crowd: number, sentAt: Instant): (ending: Outcome, now: Instant) => void {
+  /**
+   * A statement is sent; the returned function is to be called with its outcome. `statementsPerPlace`: statements at the endpoint for each place,
+   * including this one.
+   */
+  sent (id: EndpointId, statementsPerPlace: number, sentAt: Instant): (ending: Outcome, now: Instant) => void {
     const kept = this.kept(id)
     kept.atWork++
     return (ending, now) => {
       kept.atWork--
-      if (ending === 'done') kept.responses.done(now - sentAt, crowd, now)
+      if (ending === 'done') kept.responses.done(now - sentAt, statementsPerPlace, now)
       if (ending === 'failed') kept.responses.failed(now)
     }
   }
 
-  /** Judges each endpoint anew, if the last time is long enough ago; yields those that were put aside and those that are back. */
+  /** Evaluates each endpoint, unless the last time was too recent; returns those that were ejected and those that are back. */
   evaluate (endpoints: readonly EvaluatedEndpoint[], others: OthersLoad, now: Instant): readonly EjectionChange[] {
     if (now - this.evaluatedAt < EVALUATION_INTERVAL_MS) return []
     this.evaluatedAt = now
@@ -80,12 +86,12 @@
     })
   }
 
-  /** The part of its reads that the endpoint keeps; from 0 to 1. */
+  /** The fraction of its reads that the endpoint keeps, from 0 to 1. */
   part (id: EndpointId): number {
     return this.endpoints.get(id)?.ejection.part ?? 1
   }
 
-  /** Whether this owner's turn is come to try an endpoint that is put aside. `owners`: others that try it as well. */
+  /** Whether it's this owner's turn to send a trial read to an ejected endpoint. `owners`: others that send them as well. */
   isTrialDue (id: EndpointId, owners: number, now: Instant): boolean {
     const kept = this.endpoints.get(id)
     return kept !== undefined && kept.ejection.isEjected && now - kept.trialAt >= TRIAL_INTERVAL_MS * (1 + owners)
@@ -95,19 +101,19 @@
     this.kept(id).trialAt = now
   }
 
-  /** The endpoint is gone, or began anew under its id. */
+  /** The endpoint is gone, or was restarted under the same id. */
   forget (id: EndpointId): void {
     this.endpoints.delete(id)
   }
 
   /** The means over this owner and the others, as far as they know. */
   private combinedStats (id: EndpointId, others: OthersLoad, now: Instant): { failing: number, answerMs: number | undefined } {
-    const { responses: answers } = this.kept(id)
-    const they = others.at(id, now)
-    const own = answers.hasRecentSample(now) ? 1 : 0
-    const ownMs = answers.answerMs(now)
-    const failing = own + they.owners === 0 ? 0 : (own * answers.failing(now) + they.owners * they.failing) / (own + they.owners)
-    return { failing, answerMs: ownMs === undefined || they.answerMs === undefined ? ownMs ?? they.answerMs : (ownMs + they.owners * they.answerMs) / (1 + they.owners) }
+    const { responses } = this.kept(id)
+    const theirs = others.at(id, now)
+    const own = responses.hasRecentSample(now) ? 1 : 0
+    const ownMs = responses.answerMs(now)
+    const failing = own + theirs.owners === 0 ? 0 : (own * responses.failing(now) + theirs.owners * theirs.failing) / (own + theirs.owners)
+    return { failing, answerMs: ownMs === undefined || theirs.answerMs === undefined ? ownMs ?? theirs.answerMs : (ownMs + theirs.owners * theirs.answerMs) / (1 + theirs.owners) }
   }
 
   private kept (id: EndpointId): EndpointState {
--- a/src/core/pool/load/connectionusage.ts
+++ b/src/core/pool/load/connectionusage.ts
@@ -8,12 +8,12 @@
   readonly at: Instant
 }
 
-/** A use counts half after so long: longer than a transaction, shorter than a team stays busy. Milliseconds. */
+/** The weight of a use halves in this time: longer than a transaction, shorter than a team stays busy. */
 const HALF_LIFE_MS = 2000
-/** A team whose uses have faded to this isn't kept in mind. */
+/** A team whose count has decayed below this is forgotten. */
 const MIN_COUNT = 0.01
 
-/** Changes in place: it's touched by every operation. */
+/** Changes in place, with every operation. */
 export class ConnectionUsage {
   private readonly uses = new Map<TeamId, DecayingCount>()
 
@@ -27,13 +27,13 @@
     this.uses.set(team, { count: this.of(team, now) + 1, at: now })
   }
 
-  /** Uses of the team, older ones counted less; 0 for this process's own connections. */
+  /** Uses of the team, weighted by age; 0 for this process's own connections. */
   of (team: TeamId | undefined, now: Instant): number {
     const use = team === undefined ? undefined : this.uses.get(team)
     return use === undefined ? 0 : use.count * 0.5 ** ((now - use.at) / HALF_LIFE_MS)
   }
 
-  /** Forgets teams that haven't come for long, so that the table doesn't grow with all teams ever seen. */
+  /** Forgets teams without recent uses, so that the table doesn't grow with all teams ever seen. */
   tidy (now: Instant): void {
     for (const team of this.uses.keys()) {
       if (this.of(team, now) < MIN_COUNT) this.uses.delete(team)
--- a/src/core/pool/load/groupload.ts
+++ b/src/core/pool/load/groupload.ts
@@ -1,4 +1,4 @@
-/** What an owner tells the other owners of a group about its load. */
+/** What an owner reports to the other owners of a group about its load. */
 
 import type { GroupId } from '../../id/group.ts'
 import type { HostId } from '../../id/host.ts'
@@ -7,7 +7,7 @@
 export interface GroupLoad {
   readonly host: HostId
   readonly group: GroupId
-  /** Grows with each report of one life of the host, so that one that was overtaken on its way is known. */
+  /** Increases with each report of one incarnation of the host, so that a report that was overtaken on its way is recognised. */
   readonly sequence: number
   readonly endpoints: readonly EndpointLoad[]
 }
--- a/src/core/pool/load/groupusage.ts
+++ b/src/core/pool/load/groupusage.ts
@@ -1,4 +1,4 @@
-/** Who asked what of one group lately, as one host saw it. */
+/** Which teams and classes used one group lately, as seen by one host. */
 
 import { classes } from '../../admission/classes.ts'
 import type { Instant } from '../../id/instant.ts'
@@ -7,13 +7,13 @@
 
 type Largest = ReturnType<TeamUsage['largest']>
 
-/** What an explanation says of a refused statement. */
+/** The team with the most statements, as the explanation of a refused statement shows it. */
 interface TopTeam extends TeamCount {
-  /** Of all that was asked, from 0 to 1. */
+  /** Fraction of all statements, from 0 to 1. */
   readonly part: number
 }
 
-/** Changes in place: each statement adds to it. */
+/** Changes in place, with each statement. */
 export class GroupUsage {
   private constructor (private readonly teams: TeamUsage, private readonly byClass: TeamUsage) {}
 
@@ -39,7 +39,7 @@
     })
   }
 
-  /** The team that asked most; undefined when nobody asked lately. */
+  /** The team with the most statements; undefined if there were none lately. */
   leader (now: Instant): TopTeam | undefined {
     const { teams: [first], rest } = this.teams.largest(1, now)
     if (first === undefined) return undefined
--- a/src/core/pool/load/latencylimit.ts
+++ b/src/core/pool/load/latencylimit.ts
@@ -1,27 +1,27 @@
-/** How many of an endpoint's places this host may use while it hears of no other owner: by how long answers take. */
+/** How many of an endpoint's places this host may use while it receives no other owner's reports, depending on response times. */
 
 import { classes } from '../../admission/classes.ts'
 import type { Instant } from '../../id/instant.ts'
 
 interface Latency {
   readonly meanMs: number
-  /** The shortest mean that was seen, which drifts to the present one: an endpoint may become slower for good. */
+  /** The minimum of the mean, which drifts towards the present mean, since an endpoint may become slower for good. */
   readonly minMs: number
 }
 
-/** Few enough for owners that all start at once, none of which was heard yet. */
+/** Few enough for several owners that start at the same time. */
 const INITIAL_PLACES = 2
-/** How much of a class's mean one answer moves. */
+/** Weight of one answer in the mean of its class. */
 const SAMPLE_WEIGHT = 1 / 8
 const MIN_DRIFT_RATE = 1 / 100
-/** At most one change in this time, in which what was sent before is answered. Milliseconds. */
+/** At most one change in this time, so that statements sent before the last change have been answered. */
 const CHANGE_INTERVAL_MS = 100
-/** Answers that take so many times as long as at best show a queue at the endpoint. */
+/** Answers that take this many times the minimum show a queue at the endpoint. */
 const SLOW_RATIO = 1.5
 const DECREASE_FACTOR = 0.8
 const INCREASE = 0.5
 
-/** As TCP Vegas: more while answers take about as long as at best, fewer when they take longer. Changes in place, with every answer. */
+/** As in TCP Vegas: the limit grows while answers take about the minimum time, and shrinks while they take longer. Changes in place, with every answer. */
 export class LatencyLimit {
   private limit = INITIAL_PLACES
   private readonly latencies: Array<Latency | undefined> = classes.map(() => undefined)
@@ -37,7 +37,7 @@
     return this.limit
   }
 
-  /** `ms`: from sending a statement of the class to its answer. `most`: it grows no further. */
+  /** `ms`: from sending a statement of the class to its answer. `most`: upper bound of the limit. */
   answered (ms: number, rank: number, most: number, now: Instant): void {
     const { meanMs: mean, minMs: least } = this.latencies[rank] ?? { meanMs: ms, minMs: ms }
     const next = mean + (ms - mean) * SAMPLE_WEIGHT
--- a/src/core/pool/load/loadsnapshot.test.ts
+++ b/src/core/pool/load/loadsnapshot.test.ts
@@ -1,4 +1,4 @@
-/** What the pictures of several hosts make together. */
+/** Merging and parsing the snapshots of several hosts. */
 
 import { expect, it } from 'vitest'
 import { LoadSnapshot } from './loadsnapshot.ts'
@@ -13,13 +13,13 @@
   }])
 }
 
-it('adds up what hosts have at an endpoint, and says what one of them says', () => {
+it('adds up the load of hosts at an endpoint, and sets a flag if one of them sets it', () => {
   const { hosts, groups: [group] } = host('h1').with(host('h2', { endpoints: [{ ...ENDPOINT, isPrimary: false, isLeaving: true, unreached: 1 }] }))
   expect([hosts, group!.owners, group!.classes[1]]).toEqual([['h1', 'h2'], 2, { done: 2, refused: 4 }])
   expect(group!.endpoints).toEqual([{ ...ENDPOINT, isLeaving: true, connections: 8, atWork: 4, waiting: [0, 2, 4], unreached: 1 }])
 })
 
-it('a host that is asked twice counts once', () => {
+it('counts a host that is queried twice once', () => {
   expect(host('h1').with(host('h1'))).toEqual(host('h1'))
 })
 
@@ -32,9 +32,9 @@
 })
 
 it.each<[string, unknown, boolean]>([
-  ['its own text', JSON.parse(JSON.stringify(host('h1'))), true],
-  ['another program\'s page', { status: 'ok' }, false],
+  ['its own JSON', JSON.parse(JSON.stringify(host('h1'))), true],
+  ['another program\'s JSON', { status: 'ok' }, false],
   ['nothing', undefined, false]
-])('reads %s', (_name, value, isRead) => {
+])('parses %s', (_name, value, isRead) => {
   expect(LoadSnapshot.parse(value)).toEqual(isRead ? host('h1') : undefined)
 })
--- a/src/core/pool/load/loadsnapshot.ts
+++ b/src/core/pool/load/loadsnapshot.ts
@@ -1,7 +1,7 @@
 /**
- * What hosts have at the endpoints of their groups, who asks and who is refused, as operators see it. The pictures of several hosts make one.
+ * The load of hosts at the endpoints of their groups, who uses them and who is refused, for operators. Snapshots of several hosts can be merged.
  *
- * Its size is bounded: a host tells only of groups that it owns or that were asked of it lately, and of the largest teams alone.
+ * Its size is bounded: a host includes only groups that it owns or that were used through it lately, and only the largest teams.
  */
 
 import * as z from 'zod'
@@ -11,22 +11,22 @@
   endpoint: z.string(),
   isPrimary: z.boolean(),
   isLeaving: z.boolean(),
-  /** Statements that it works on at a time, where it tells. */
+  /** Statements that it works on at a time, if it reports them. */
   places: z.number().optional(),
   connections: z.number(),
   /** Statements that are at the endpoint now. */
   atWork: z.number(),
-  /** Those that wait with hosts, by class. */
+  /** Statements that wait on hosts, by class. */
   waiting: z.array(z.number()),
-  /** Hosts that don't reach it. */
+  /** Number of hosts that don't reach it. */
   unreached: z.number()
 })
 const groupShape = z.object({
   group: z.string(),
   owners: z.number(),
-  /** Statements by class, lately. */
+  /** Recent statements by class. */
   classes: z.array(z.object(counts)),
-  /** The largest by what they asked lately; what others asked is in `rest`. */
+  /** The largest teams by recent statements; `rest` has those of all others. */
   teams: z.array(z.object({ team: z.string(), ...counts })),
   rest: z.object(counts),
   endpoints: z.array(endpointShape)
@@ -38,7 +38,7 @@
 type Endpoint = Group['endpoints'][number]
 type Counts = Group['rest']
 
-/** Teams that are told of a group. */
+/** Number of teams listed for a group. */
 const MAX_TEAMS = 16
 
 /** Immutable. */
@@ -49,18 +49,18 @@
 
   static readonly empty = new LoadSnapshot([], [])
 
-  /** What one host sees. */
+  /** The load seen by one host. */
   static of (host: string, groups: readonly Group[]): LoadSnapshot {
     return new LoadSnapshot([host], groups)
   }
 
-  /** Undefined when the value isn't a picture. */
+  /** Undefined if the value isn't a snapshot. */
   static parse (value: unknown): LoadSnapshot | undefined {
     const parsed = shape.safeParse(value)
     return parsed.success ? new LoadSnapshot(parsed.data.hosts, parsed.data.groups) : undefined
   }
 
-  /** The picture of both; a host that is in both counts once. */
+  /** Merges both; a host that is in both counts once. */
   with (other: LoadSnapshot): LoadSnapshot {
     if (other.hosts.some(host => this.hosts.includes(host))) return this
     const groups = new Map(this.groups.map(group => [group.group, group]))
@@ -87,7 +87,7 @@
   }
 }
 
-/** Hosts may differ for a moment about who leads or leaves: one that says so is enough to be looked at. */
+/** Hosts may disagree for a moment about who is primary or leaving; one that says so is enough. */
 function mergeEndpoints (a: Endpoint, b: Endpoint): Endpoint {
   return {
     endpoint: a.endpoint,
--- a/src/core/pool/load/noreports.ts
+++ b/src/core/pool/load/noreports.ts
@@ -1,4 +1,4 @@
-/** What is known of the other owners of a group while none of them was heard. */
+/** The load of the other owners of a group while no report was received. */
 
 import type { OthersLoad } from './othersload.ts'
 
--- a/src/core/pool/load/ownerreports.ts
+++ b/src/core/pool/load/ownerreports.ts
@@ -1,4 +1,4 @@
-/** The reports that the other owners of a group made, as far as they count. */
+/** The load reports of the other owners of a group, as far as they are valid. */
 
 import type { EndpointId } from '../../id/endpoint.ts'
 import type { HostId } from '../../id/host.ts'
@@ -10,16 +10,15 @@
 
 interface ReceivedReport {
   readonly report: LoadReport
-  /** On this host's clock; a report says nothing of times. */
+  /** On this host's clock; a report carries no time. */
   readonly at: Instant
 }
 
 /**
- * Immutable. Only owners are heard, and of each its newest report, for a few periods.
+ * Immutable. Keeps the newest report of each other owner, and counts it for a few periods.
  *
- * Against load that is decided on by what was: a report that was overtaken on its way has a lower number, one of a host that ended or stands still gets too old,
- * and one of a host that owns the group no more is dropped with it. A host that wakes may still send what it wrote before; that counts for one
- * period, until its next report.
+ * A report that was overtaken on its way has a lower sequence number; one of a host that died or hangs expires; one of a host that is no longer an owner
+ * is dropped. A host that resumes may still send a report from before; it counts until the host's next one.
  */
 export class OwnerReports implements OthersLoad {
   private constructor (
@@ -30,7 +29,7 @@
   /** Without other owners. */
   static readonly empty = new OwnerReports(new Set(), new Map())
 
-  /** For these other owners from now on. */
+  /** The same for these other owners. */
   forOwners (others: readonly HostId[]): OwnerReports {
     const ids = new Set(others)
     return new OwnerReports(ids, new Map([...this.heard].filter(([id]) => ids.has(id))))
@@ -43,13 +42,13 @@
     return new OwnerReports(this.otherOwners, new Map([...this.heard, [host, { report, at: now }]]))
   }
 
-  /** Owners that have gone silent with load: one that becomes idle says so. */
+  /** Owners whose reports have stopped while they had load; one that becomes idle reports that. */
   silent (now: Instant): readonly HostId[] {
-    const isAtWork = ({ report }: ReceivedReport) => report.load.endpoints.some(({ atWork, waiting }) => atWork + waiting > 0)
-    return [...this.heard].filter(([, heard]) => !this.isValid(heard, now) && isAtWork(heard)).map(([id]) => id)
+    const hasLoad = ({ report }: ReceivedReport) => report.load.endpoints.some(({ atWork, waiting }) => atWork + waiting > 0)
+    return [...this.heard].filter(([, heard]) => !this.isValid(heard, now) && hasLoad(heard)).map(([id]) => id)
   }
 
-  /** Without the loads that count no more; the numbers stay, so that older ones aren't taken for new. */
+  /** Without the load of expired reports; their sequence numbers stay, so that older reports aren't accepted as new. */
   withoutExpired (now: Instant): OwnerReports {
     if (this.silent(now).length === 0) return this
     const emptied = ({ report: { incarnation: life, load }, at }: ReceivedReport): ReceivedReport => ({ at, report: { incarnation: life, load: { ...load, endpoints: [] } } })
@@ -57,11 +56,11 @@
   }
 
   at (endpoint: EndpointId, now: Instant): ReturnType<OthersLoad['at']> {
-    const counting = [...this.heard.values()].filter(heard => this.isValid(heard, now))
-    const loads = counting.flatMap(({ report }) => report.load.endpoints.filter(load => load.endpoint === endpoint))
+    const valid = [...this.heard.values()].filter(heard => this.isValid(heard, now))
+    const loads = valid.flatMap(({ report }) => report.load.endpoints.filter(load => load.endpoint === endpoint))
     const timed = loads.flatMap(({ answerMs }) => answerMs === undefined ? [] : [answerMs])
     return {
-      owners: counting.length,
+      owners: valid.length,
       atWork: sumOf(loads, ({ atWork }) => atWork),
       waiting: sumOf(loads, ({ waiting }) => waiting),
       answerMs: timed.length === 0 ? undefined : timed.reduce((sum, ms) => sum + ms, 0) / timed.length,
@@ -69,7 +68,7 @@
     }
   }
 
-  /** Of a life that may be an earlier one, since the time of day was set, a report is taken once the later one says no more. */
+  /** After the time of day was set back, a new incarnation may have a lower number; its reports are accepted once those of the other have expired. */
   private isNewer ({ incarnation: life, load }: LoadReport, known: ReceivedReport, now: Instant): boolean {
     const { report } = known
     if (life === report.incarnation) return load.sequence > report.load.sequence
--- a/src/core/pool/load/placeaction.ts
+++ b/src/core/pool/load/placeaction.ts
@@ -1,6 +1,6 @@
-/** What became of an order for a place. */
+/** What was decided about a request for a place. */
 
-/** `refuse` is final: it was not sent, and can't be in its time. */
+/** `refuse` is final: the statement wasn't sent, and can't be done before its deadline. */
 export interface PlaceAction {
   readonly kind: 'start' | 'refuse'
   readonly id: number
--- a/src/core/pool/load/placelimit.ts
+++ b/src/core/pool/load/placelimit.ts
@@ -7,30 +7,29 @@
 type OthersLoadAtEndpoint = ReturnType<OthersLoad['at']>
 
 /**
- * Beside the places that work, so many for each may be on their way there. Without them places idle for a round trip, and while an owner
- * doesn't know yet that another one uses less than its part.
+ * Statements on their way to the endpoint, as a fraction of its places. Without them places would be idle for a round trip, and until an owner knows that
+ * another one uses less than its share.
  */
 const SPARE_RATIO = 1 / 2
-/** While no other owner is heard this host uses at most so much: others are more likely unheard than gone. */
+/** Maximum fraction of the places to use while no other owner's reports are received: others have more likely become unheard than stopped. */
 const NO_REPORTS_RATIO = 1 / 2
-/** How fast the mean of this host's own demand follows: a few statements' time. Milliseconds. */
+/** Time constant of the mean of this host's own demand: the time of a few statements. */
 const DEMAND_TIME_CONSTANT_MS = 50
-/** Within this time an owner that is due one place and a half has one for half of it and two for the other. Milliseconds. */
+/** An owner with a fractional share of a place alternates between the two whole numbers within this period. */
 const ROUNDING_PERIOD_MS = 40
-/** Against owners that aren't heard: after a refusal for want of room this host uses half as much, */
+/** After a refusal for overload this host halves its ceiling. */
 const BACKOFF_FACTOR = 0.5
-/** at most once within the time in which what it sent before is answered, */
+/** Backs off at most once in the time within which earlier statements are answered. */
 const BACKOFF_INTERVAL_MS = 100
-/** and one place more each time this passes while some wait. */
+/** Raises the ceiling by one place in this interval while requests wait. */
 const RAISE_INTERVAL_MS = 200
 
 /**
- * The places, and some to spare, are shared between the owners of a group by their demand, as their reports tell it. An owner with demand has
- * at least an equal share, so that one owner's long queue doesn't stop the others; beyond that it has no more than the others leave.
+ * The places, and some to spare, are shared between the owners of a group in proportion to their reported demand. An owner with demand has at least an
+ * equal share, so that one owner's long queue doesn't stop the others; beyond that it has no more than the others leave.
  *
- * Owners whose reports don't come may be there all the same. While none is heard, this host goes by how long answers take; and at all times
- * it has a ceiling, which is halved when the endpoint refuses for want of room, and climbs back while some wait. Changes in place: it's asked
- * with every statement.
+ * Owners whose reports don't arrive may still use the endpoint. While no reports arrive, the limit depends on response times. In any case there is a
+ * ceiling, which is halved when the endpoint refuses for overload, and rises again while requests wait. Changes in place, with every statement.
  */
 export class PlaceLimit {
   private ceiling: number
@@ -47,19 +46,19 @@
     this.raisedAt = now
   }
 
-  /** `phase`: chance in [0, 1), so that owners that are due parts of a place don't take them at one moment. */
+  /** `phase`: random number in [0, 1), so that owners with fractional shares don't round up at the same time. */
   static create (places: number, phase: number, now: Instant): PlaceLimit {
     return new PlaceLimit(places, phase, now)
   }
 
-  /** The endpoint tells another number of places. */
+  /** The endpoint reports another number of places. */
   resize (places: number): void {
     const isWhole = this.ceiling >= this.capacity
     this.places = places
     this.ceiling = isWhole ? this.capacity : Math.min(this.ceiling, this.capacity)
   }
 
-  /** `demand`: what this host has at the endpoint and waiting for it. At least 1. */
+  /** `demand`: what this host has at the endpoint and waiting for it. Returns at least 1. */
   at (demand: number, others: OthersLoadAtEndpoint, now: Instant): number {
     this.updateMeanDemand(demand, now)
     this.raiseCeiling(demand, now)
@@ -74,7 +73,7 @@
     this.latencyLimit.answered(ms, rank, this.limitWithoutReports, now)
   }
 
-  /** The endpoint refused something for want of room. */
+  /** The endpoint refused something for overload. */
   backOff (now: Instant): void {
     if (now - this.backedOffAt < BACKOFF_INTERVAL_MS) return
     this.backedOffAt = now
--- a/src/core/pool/load/placequeue.ts
+++ b/src/core/pool/load/placequeue.ts
@@ -1,4 +1,4 @@
-/** What of one class waits for a place at an endpoint. */
+/** The requests of one class that wait for a place at an endpoint. */
 
 import { FairQueue } from '../../admission/fairqueue.ts'
 import type { AdmissionRequest } from '../../admission/request.ts'
@@ -9,13 +9,13 @@
 
 interface WaitingOrder {
   readonly order: PlaceOrder
-  /** The same as its queue knows it. */
+  /** The same request in the form that its queue holds. */
   readonly request: AdmissionRequest
 }
 
 const KINDS = ['next', 'first', 'opening'] as const
 
-/** One queue for each kind, fair between callers. Changes in place, like the queues that it holds. */
+/** One fair queue between callers for each kind of request. Changes in place, like the queues that it contains. */
 export class PlaceQueue {
   /** How long its statements hold a place. */
   readonly service = ServiceTime.create()
@@ -32,7 +32,7 @@
     return this.waiting.size
   }
 
-  /** Statements that wait; openings aren't among them. */
+  /** Waiting statements; connection openings aren't included. */
   get statements (): number {
     return this.queues.next.size + this.queues.first.size
   }
@@ -51,8 +51,8 @@
   }
 
   /**
-   * The order whose turn it is. Transactions that have begun go first: what they hold is free the sooner, and work that is half done isn't
-   * thrown away. Of the first that begins and the first opening, the one that came first.
+   * The request that is next. Transactions that have begun go first: this frees what they hold sooner, and unfinished work isn't lost. Of the first other
+   * statement and the first connection opening, the one that arrived first.
    */
   peek (isOpeningAllowed: boolean, now: Instant): PlaceOrder | undefined {
     const next = this.queues.next.peek(now)
@@ -63,7 +63,7 @@
     return this.waiting.get(Math.min(...ids))?.order
   }
 
-  /** Every order with the number of its class that goes before it. */
+  /** Every request, with the number of those of its class that go before it. */
   * inTurn (now: Instant): Generator<readonly [PlaceOrder, number]> {
     let before = 0
     for (const kind of KINDS) {
@@ -72,13 +72,13 @@
     }
   }
 
-  /** How many of its class go first if the order joins. */
+  /** How many of its class would go first if the request joined. */
   aheadOf ({ what, caller }: PlaceOrder, now: Instant): number {
     const own = this.queues[what].countAhead(caller, now)
     return what === 'next' ? own : own + this.queues.next.size
   }
 
-  /** Charges the caller in all queues: time that its transactions take is missing to others as well. Negative to correct an estimate. */
+  /** Charges the caller in all queues, since the time that its transactions take is taken from others as well. Negative to correct an estimate. */
   charge (caller: CallerId, ms: number): void {
     for (const kind of KINDS) this.queues[kind].charge(caller, ms)
   }
--- a/src/core/pool/load/placescheduler.ts
+++ b/src/core/pool/load/placescheduler.ts
@@ -1,10 +1,8 @@
 /**
- * The queue before one endpoint's places on this host.
+ * The queue for one endpoint's places on this host.
  *
- * An endpoint works on a few statements at a time and queues more, first come
- * first served, where nobody knows classes or callers. So this host sends it no
- * more than its part of the places and keeps the rest here, in order: class by
- * class, within a class transactions that have begun first, then fair by caller.
+ * An endpoint works on a few statements at a time and queues more, first come, first served, without knowing classes or callers. So this host sends it no
+ * more than its share of the places and keeps the rest here: ordered by class, within a class transactions that have begun first, then fair by caller.
  */
 
 import { classes } from '../../admission/classes.ts'
@@ -18,34 +16,34 @@
 interface Held {
   readonly order: PlaceOrder
   readonly since: Instant
-  /** What its caller was charged at the start, until the true time is known. */
+  /** What its caller was charged at the start, in milliseconds, until the true time is known. */
   readonly charged: number
 }
 
-/** One start in so many goes to a lower class that waits, so that none starves. */
+/** One start out of this many goes to a lower class that waits, so that none starves. */
 const MAX_SKIPPED_STARTS = 16
 /**
- * Openings hold at most this part of the places, and get at most this part of the starts while statements wait. Without a bound a queue makes
- * callers lack connections, and the openings for these make the queue longer.
+ * Maximum fraction of the places that connection openings hold, and of the starts that they get while statements wait. Without a bound a queue causes a
+ * lack of connections, and opening more of them makes the queue longer.
  */
 const OPENING_SHARE = 1 / 4
-/** So many times the mean gap between two starts counts as a stall. */
+/** A gap of this many times the mean one between two starts counts as a stall. */
 const STALL_FACTOR = 8
-/** What waits is given up only when even this share of the estimated wait is too long: estimates swing. */
+/** A waiting request is given up only if even this fraction of the estimated wait is too long, since estimates vary. */
 const GIVE_UP_FACTOR = 0.5
 
-/** Changes in place: it's stepped twice a statement, and its queues would be copied each time. */
+/** Changes in place: it's stepped twice per statement, and copying its queues each time would be expensive. */
 export class PlaceScheduler {
   private readonly queues = classes.map(() => PlaceQueue.create())
   private readonly openingTime = ServiceTime.create()
-  /** Starts of others since the class had one while it waited. */
+  /** Starts of more urgent classes while the class waited, since its own last start. */
   private readonly skippedStarts = classes.map(() => 0)
   private readonly orders = new Map<number, PlaceOrder>()
   private readonly held = new Map<number, Held>()
   private openings = 0
-  /** Starts of statements since the last opening. */
+  /** Statements started since the last connection opening. */
   private startsSinceOpening = Infinity
-  /** Since when some wait and none has started. */
+  /** Since when requests wait and none has started. */
   private stalledSince = 0 as Instant
   private limit = 1
   private actions: PlaceAction[] = []
@@ -56,7 +54,7 @@
     return new PlaceScheduler()
   }
 
-  /** Statements and openings at the endpoint. */
+  /** Statements and connection openings at the endpoint. */
   get atWork (): number {
     return this.held.size
   }
@@ -76,7 +74,7 @@
     return this.actions
   }
 
-  /** How long an opening holds a place, in milliseconds. */
+  /** How long a connection opening holds a place, in milliseconds. */
   openingMs (now: Instant): number {
     return this.openingTime.at(now)
   }
@@ -137,8 +135,8 @@
 
   private nextOrder (now: Instant): PlaceOrder | undefined {
     for (let rank = classes.length - 1; rank > 0; rank--) {
-      const owed = this.skippedStarts[rank]! >= MAX_SKIPPED_STARTS ? this.queues[rank]!.peek(this.isOpeningAllowed(rank), now) : undefined
-      if (owed !== undefined) return owed
+      const overdue = this.skippedStarts[rank]! >= MAX_SKIPPED_STARTS ? this.queues[rank]!.peek(this.isOpeningAllowed(rank), now) : undefined
+      if (overdue !== undefined) return overdue
     }
     for (let rank = 0; rank < classes.length; rank++) {
       const order = this.queues[rank]!.peek(this.isOpeningAllowed(rank), now)
@@ -148,8 +146,8 @@
   }
 
   /**
-   * The most urgent class may use one place beyond the limit while it has none. A host whose only place has a long statement would else keep
-   * an urgent one waiting for its whole time, though other hosts' places come free meanwhile.
+   * The most urgent class may use one place beyond the limit while it has none, so that a long statement in a host's only place doesn't block an urgent
+   * one while places of other hosts become free.
    */
   private nextUrgentOrder (now: Instant): PlaceOrder | undefined {
     if (this.held.size > this.limit) return undefined
@@ -159,19 +157,22 @@
     return this.queues[0]!.peek(this.isOpeningAllowed(0), now)
   }
 
-  /** An opening of the class goes before statements of lower ones, but only in its turn beside those of its own and of higher ones. */
+  /** A connection opening of the class goes before statements of lower classes, but takes turns with those of its own class and higher ones. */
   private isOpeningAllowed (rank: number): boolean {
     if (this.openings >= Math.max(1, Math.floor(this.limit * OPENING_SHARE))) return false
     return this.startsSinceOpening + 1 >= 1 / OPENING_SHARE || this.queues.every(({ statements }, other) => other > rank || statements === 0)
   }
 
-  /** Refuses an order that has just come and waits, if it's known that it can't be done in its time. */
+  /** Refuses a request that has just arrived if it has to wait and can't be done before its deadline. */
   private refuseIfTooLate (order: PlaceOrder, ahead: number, now: Instant): void {
     if (!this.orders.has(order.id)) return
     if (this.waitMs(order, ahead, now) + this.serviceTimeOf(order).at(now) > order.deadline - now) this.refuse(order)
   }
 
-  /** Gives up what can't make its deadline any more: with an endpoint that hangs, no place comes back and nothing else would end the wait. */
+  /**
+   * Refuses waiting requests that can't meet their deadlines any more: at an endpoint that hangs no place becomes free, and nothing else would end the
+   * wait.
+   */
   private refuseExpired (now: Instant): void {
     for (const line of this.queues) {
       line.tidy()
@@ -181,11 +182,11 @@
     }
   }
 
-  /** The time until an order with so many of its class ahead gets a place. */
+  /** The time until a request with this many of its class ahead gets a place. */
   private waitMs (order: PlaceOrder, ahead: number, now: Instant): number {
     let work = ahead * this.queueOf(order).service.at(now)
     for (let higher = 0; higher < order.rank; higher++) work += this.queues[higher]!.size * this.queues[higher]!.service.at(now)
-    // A class that is passed over has its turns nevertheless.
+    // A class that is skipped still has its guaranteed starts.
     const ownTurns = (ahead + 1) * MAX_SKIPPED_STARTS * this.queueOf(order).service.at(now)
     return Math.max(Math.min(work, ownTurns) / this.limit, (ahead + 1) * (now - this.stalledSince) / STALL_FACTOR)
   }
--- a/src/core/pool/load/reportcodec.ts
+++ b/src/core/pool/load/reportcodec.ts
@@ -1,4 +1,4 @@
-/** How a report is written, and read. */
+/** Encodes and decodes load reports. */
 
 import * as z from 'zod'
 import { readJson } from '../../readjson.ts'
@@ -8,22 +8,22 @@
 import type { EndpointLoad } from './endpointload.ts'
 import type { LoadReport } from './loadreport.ts'
 
-/** A report fits a datagram that no link splits: this many endpoints at about 60 bytes each. */
+/** Keeps a report within one unfragmented datagram, at about 60 bytes for each endpoint. */
 const MAX_ENDPOINTS = 20
 
-/** In lists, for their bytes: endpoint, at work, waiting, milliseconds to the answer, the part that fails. */
+/** Tuples to save bytes: endpoint, at work, waiting, response time in milliseconds, failure rate. */
 const endpointShape = z.tuple([z.string(), z.int().nonnegative(), z.int().nonnegative(), z.number().nonnegative().nullable(), z.number().min(0).max(1)])
-/** Host, group, life, number, endpoints. */
+/** Host, group, incarnation, sequence number, endpoints. */
 const shape = z.tuple([z.string(), z.string(), z.int(), z.int().nonnegative(), z.array(endpointShape).max(MAX_ENDPOINTS)])
 
 export const reportCodec = {
-  /** Of more endpoints than fit, those with the most load are told. */
+  /** If there are more endpoints than fit, includes those with the most load. */
   encode: ({ incarnation: life, load: { host, group, sequence: number, endpoints } }: LoadReport): string => {
     const most = [...endpoints].sort((a, b) => b.atWork + b.waiting - a.atWork - a.waiting).slice(0, MAX_ENDPOINTS)
     return JSON.stringify([host, group, life, number, most.map(encodeEndpoint)])
   },
 
-  /** Undefined for a text that can't be read, such as that of another program. */
+  /** Undefined for a text that can't be decoded, such as that of another program. */
   decode: (text: string): LoadReport | undefined => {
     const parsed = shape.safeParse(readJson(text))
     if (!parsed.success) return undefined
--- a/src/core/pool/load/reportperiod.ts
+++ b/src/core/pool/load/reportperiod.ts
@@ -1,15 +1,15 @@
-/** How often owners tell each other of their load, and for how long it counts. */
+/** How often owners report their load to each other, and for how long a report is valid. */
 
-/** A queue before an endpoint grows or drains by a few statements meanwhile; waves of demand last longer by far. Milliseconds. */
+/** Meanwhile a queue at an endpoint grows or shrinks by a few statements only; demand changes far more slowly. */
 const PERIOD_MS = 100
-/** An owner tells no more others than this each period; with more owners it tells all of them less often, so that its bytes don't grow with them. */
+/** With more owners reports are sent less often, so that an owner's traffic doesn't grow with their number. */
 const MAX_REPORTS_PER_PERIOD = 8
-/** A report counts until the third after it should have come: datagrams are lost now and then, one after the other seldom. */
+/** Tolerates the loss of single datagrams. */
 const VALID_PERIODS = 3
 
 export const reportPeriod = {
-  /** Milliseconds from one report to the next where so many others are told. */
+  /** Milliseconds between two reports to this many others. */
   msFor: (others: number): number => PERIOD_MS * Math.max(1, Math.ceil(others / MAX_REPORTS_PER_PERIOD)),
-  /** Milliseconds for which a report counts. */
+  /** Milliseconds for which a report is valid. */
   validMs: (others: number): number => VALID_PERIODS * reportPeriod.msFor(others)
 }
--- a/src/core/pool/load/reportschedule.ts
+++ b/src/core/pool/load/reportschedule.ts
@@ -1,10 +1,10 @@
-/** When this host told the other owners of a group of its load, and whether there is something to tell again. */
+/** When this host last reported its load to the other owners of a group, and whether another report is due. */
 
 import type { Instant } from '../../id/instant.ts'
 import type { EndpointLoad } from './endpointload.ts'
 import { reportPeriod } from './reportperiod.ts'
 
-/** Timers fire a little early or late; a report isn't put off to the next look for that. Milliseconds. */
+/** Timers may fire a little early; a report shouldn't wait for the next tick because of that. */
 const TIMER_TOLERANCE_MS = 10
 
 /** Immutable; each report yields the next value. */
@@ -13,7 +13,7 @@
 
   static readonly initial = new ReportSchedule(-Infinity as Instant, true)
 
-  /** Each period while there is load, and once when there is none any more. */
+  /** Due each period while there is load, and once more when there is none. */
   isDue (loads: readonly EndpointLoad[], others: number, now: Instant): boolean {
     if (others === 0 || (this.wasIdle && isIdle(loads))) return false
     return now - this.at >= reportPeriod.msFor(others) - TIMER_TOLERANCE_MS
--- a/src/core/pool/load/teamusage.ts
+++ b/src/core/pool/load/teamusage.ts
@@ -1,9 +1,8 @@
 /**
- * Who uses a group lately, and who is refused: the statements of the largest few teams, so that an operator sees whose load it is.
+ * Which teams use a group lately, and which are refused: the statements of the largest teams, so that an operator sees whose load it is.
  *
- * Memory is bounded whatever the number of teams: beyond the most, the one with the fewest statements, of these the one that came first, gives its
- * place to the newcomer, and what it had counts among the rest. So a team with much of the work stays, and what
- * is told of one that was put out and came back is the least that it had.
+ * Memory is bounded for any number of teams. Beyond the maximum a new team replaces the one with the fewest statements (of several, the one added first),
+ * whose count is added to the rest. So teams with much of the load stay, and the count of a team that was evicted and returned is a lower bound.
  */
 
 import type { Instant } from '../../id/instant.ts'
@@ -14,12 +13,12 @@
   refused: number
 }
 
-/** Teams that are told apart; a hundredth of a group's statements is enough to be among them. */
+/** Teams that are counted separately; a hundredth of a group's statements is enough to be among them. */
 const MAX_TEAMS = 100
-/** What is told covers from one to two of these: young enough to show who it is now, and more than a few statements. */
+/** Counts cover one to two windows: recent enough to show the present load, and more than a few statements. */
 const WINDOW_MS = 5000
 
-/** Changes in place: each statement adds to it. */
+/** Changes in place, with each statement. */
 export class TeamUsage {
   private now = new Map<string, Count>()
   private before = new Map<string, Count>()
@@ -38,7 +37,7 @@
     count[ending]++
   }
 
-  /** The largest teams by what they asked, the largest first, and all others as one. */
+  /** The largest teams by number of statements, the largest first, and the sum of all others. */
   largest (most: number, now: Instant): { readonly teams: readonly TeamCount[], readonly rest: Count } {
     this.rotate(now)
     const sums = new Map<string, Count>([...this.before].map(([team, count]) => [team, { ...count }]))
--- a/src/core/pool/placing/connectionbudget.ts
+++ b/src/core/pool/placing/connectionbudget.ts
@@ -1,6 +1,6 @@
-/** The connections of an endpoint that owners have among them where a part of the hosts is picked. */
+/** Connections to one endpoint that the assigned owners of a group share. */
 
-/** Half of them, so that the living fit beside as many dead, which endpoints count for some seconds more. */
+/** Half of all: the other half covers as many connections of dead hosts, which endpoints still count for a few seconds. */
 export function connectionBudget (connections: number): number {
   return Math.max(1, Math.floor(connections / 2))
 }
--- a/src/core/pool/placing/connectionscarcity.test.ts
+++ b/src/core/pool/placing/connectionscarcity.test.ts
@@ -1,17 +1,16 @@
-/** How long unused connections are kept. */
+/** How long idle connections are kept. */
 
 import { expect, it } from 'vitest'
 import type { Instant } from '../../id/instant.ts'
 import { ConnectionScarcity } from './connectionscarcity.ts'
 
-// Callers of some hosts can't write for seconds after all hosts lost their power and came back.
-// The endpoint counts the dead connections still; the first host takes the few that are free, and keeps them idle.
+// After a power loss of all hosts, the first host to return must not keep the few free connections idle while others can't connect.
 it.each<[string, ConnectionScarcity, number, boolean]>([
   ['just started', ConnectionScarcity.started(0 as Instant), 1000, true],
   ['started long ago', ConnectionScarcity.started(0 as Instant), 4000, false],
-  ['with room beside the dead', ConnectionScarcity.none, 1, false],
+  ['with spare connections', ConnectionScarcity.none, 1, false],
   ['refused lately', ConnectionScarcity.started(0 as Instant).refused(10_000 as Instant), 12_000, true],
   ['refused long ago', ConnectionScarcity.started(0 as Instant).refused(10_000 as Instant), 14_000, false]
-])('%s', (_, thrift, now, isScarce) => {
-  expect(thrift.idleTimeoutMs(now as Instant) !== undefined).toBe(isScarce)
+])('%s', (_, scarcity, now, isScarce) => {
+  expect(scarcity.idleTimeoutMs(now as Instant) !== undefined).toBe(isScarce)
 })
--- a/src/core/pool/placing/host.ts
+++ b/src/core/pool/placing/host.ts
@@ -1,4 +1,4 @@
-/** A host as its row in the shared table describes it. */
+/** A host as described by its row in the shared table. */
 
 import type { DataCentreId } from '../../id/datacentre.ts'
 import type { HostId } from '../../id/host.ts'
@@ -6,10 +6,10 @@
 export interface PoolHost {
   readonly id: HostId
   readonly dataCentre: DataCentreId
-  /** Where it takes sessions that other hosts pass on. */
+  /** Where it accepts sessions that other hosts forward. */
   readonly address: { readonly ip: string, readonly port: number }
-  /** The port at which it takes links of other hosts. */
+  /** The port at which it accepts links from other hosts. */
   readonly linkPort: number
-  /** What its processor is worth, in cores; undefined for a host that doesn't say, such as one of an earlier program, which counts as one core. */
+  /** Processor capacity in cores; undefined for a host that doesn't report it, such as one of an earlier version, which counts as one core. */
   readonly capacity?: number | undefined
 }
--- a/src/core/pool/placing/hostcapacity.ts
+++ b/src/core/pool/placing/hostcapacity.ts
@@ -1,19 +1,19 @@
-/** What hosts carry, told in the places of endpoints whose work passes them. */
+/** Capacity of hosts in cores, and the cores that a number of busy places needs. */
 
 import type { PoolHost } from './host.ts'
 
-/** What a statement takes of an owner's processor, in seconds of one core; docs/CAPACITY.md has the costs. */
+/** Processor time of an owner per statement, in seconds of one core. */
 const STATEMENT_CPU_S = 0.0005
-/** Statements a second of a place that is never idle, at 20 ms each. */
+/** Statements per second of a place that is always busy, at 20 ms each. */
 const PLACE_STATEMENTS_PER_S = 50
-/** A processor that is busier than this makes statements wait for it, and has nothing left while another owner is gone. */
+/** Above this utilisation statements queue for the processor, and an owner can't take over the work of another one that fails. */
 const MAX_UTILISATION = 0.5
 const CORES_PER_PLACE = STATEMENT_CPU_S * PLACE_STATEMENTS_PER_S / MAX_UTILISATION
-/** A host that doesn't tell its capacity is taken for a whole core. */
+/** Capacity of a host that doesn't report one. */
 const DEFAULT_CORES = 1
 
 export const hostCapacity = {
   coresOf: ({ capacity }: PoolHost): number => capacity ?? DEFAULT_CORES,
-  /** Cores that are needed while so many places are busy. */
+  /** Cores needed while this many places are busy. */
   coresForPlaces: (places: number): number => places * CORES_PER_PLACE
 }
--- a/src/core/pool/placing/ownership.ts
+++ b/src/core/pool/placing/ownership.ts
@@ -1,4 +1,4 @@
-/** Which hosts connect to the endpoints of a group, and where the others pass its sessions on. */
+/** Which hosts connect to the endpoints of a group, and where the other hosts forward its sessions. */
 
 import type { GroupId } from '../../id/group.ts'
 import type { HostId } from '../../id/host.ts'
@@ -11,34 +11,30 @@
 import type { TeamAffinity } from './teamaffinity.ts'
 import type { TeamShare } from './teamshare.ts'
 
-/** With one connection each, a transaction at one owner would keep its other sessions waiting while another owner's connection is unused. */
+/** With a single connection, one transaction would block all other sessions of its owner. */
 const MIN_CONNECTIONS_PER_OWNER = 2
-/** Where connections serve one team each, an owner with more of them has one of the team's more often, and opens and closes fewer. */
+/** Where each connection serves one team, an owner with more connections reopens them less often for another team. */
 const MIN_TEAM_CONNECTIONS_PER_OWNER = 4
 
 /**
- * The owners of one group among the hosts that are alive. Immutable.
+ * The owners of one group among the live hosts. Immutable.
  *
- * With at least twice as many connections an endpoint as hosts every host owns the
- * group and connects by itself. With fewer, a part of the hosts owns it, each
- * with a few connections, picked by rendezvous hashing, so that a host that comes
- * or goes moves few sessions, and dealt over the data centres in turn, so that
- * most sessions find an owner in theirs.
+ * With at least twice as many connections per endpoint as hosts, every host owns the group and connects by itself. With fewer, some of the hosts own it,
+ * with a few connections each. They are chosen by rendezvous hashing, so that a host that joins or leaves moves few sessions, alternating between data
+ * centres, so that most sessions find an owner in their own.
  *
- * Guard against endpoints that are full of dead connections: they count those of a host that lost its power
- * for about three seconds more. After all hosts lost theirs, connections were turned away, opened again and again, and each opening
- * took a place from statements: with 66 owners of one connection each before endpoints that take 98, next to nothing was
- * served for ten seconds. So owners that are picked have half of the connections, and the living fit beside as many dead.
+ * Endpoints still count the connections of a host that lost power for about three seconds. So assigned owners share only half of the connections: after a
+ * power loss of all hosts the new connections fit beside the dead ones, instead of being refused and retried while each attempt occupies a place.
  */
 export class Ownership {
-  /** `share`: connections to an endpoint for each owner. `hasRoom`: whether the living fit beside as many dead. */
+  /** `connectionsPerOwner`: to each endpoint. `hasSpareConnections`: whether the owners' connections fit beside as many of dead hosts. */
   private constructor (
     readonly owners: readonly PoolHost[],
     readonly connectionsPerOwner: number,
     readonly hasSpareConnections: boolean,
     /**
-     * All hosts in the order in which they act for the group: owners first. Against writes that are refused for a second longer than needed: only owners find out that a
-     * primary is dead, and with 195 hosts the first of 14 owners had some fifteen others before it, each with its turn of 50 ms.
+     * All hosts in the order in which they may start a failover. Owners come first: only they notice that a primary is dead, and each host ahead of them
+     * would delay the failover by its time slot.
      */
     readonly failoverOrder: readonly HostId[],
     private readonly affinity: TeamAffinity
@@ -51,37 +47,39 @@
     return Ownership.withOwners(group, hosts, connections, interleave(rankPerDataCentre(hosts, group)).slice(0, most), dataCentreAffinity)
   }
 
-  /** Of owners that are picked already, some of the hosts; they have half of the connections, in equal parts. */
+  /** With owners that were chosen before; they share half of the connections equally. */
   static withOwners (group: GroupId, hosts: readonly PoolHost[], connections: number, owners: readonly PoolHost[], affinity: TeamAffinity): Ownership {
-    const owning = new Set(owners.map(({ id }) => id))
+    const ownerIds = new Set(owners.map(({ id }) => id))
     const all = rankByWeight(group, hosts)
-    const turns = [...all.filter(id => owning.has(id)), ...all.filter(id => !owning.has(id))]
-    return new Ownership(owners, Math.max(1, Math.floor(connectionBudget(connections) / owners.length)), true, turns, affinity)
+    const failoverOrder = [...all.filter(id => ownerIds.has(id)), ...all.filter(id => !ownerIds.has(id))]
+    return new Ownership(owners, Math.max(1, Math.floor(connectionBudget(connections) / owners.length)), true, failoverOrder, affinity)
   }
 
   isOwner (host: HostId): boolean {
     return this.owners.some(({ id }) => id === host)
   }
 
-  /** Where a host passes a team's session on, the best first; empty when it serves the session itself. */
+  /** Where a host forwards a session of the team, the best first; empty if the host serves the session itself. */
   private teamForwardingTargets (host: PoolHost, team: TeamShare): readonly PoolHost[] {
     if (!this.hasSpareConnections) return []
     const weight = (owner: PoolHost) => weightOf(`${team.id}/${owner.id}`)
     const ranked = [...this.owners].sort((a, b) => weight(b) - weight(a))
-    const { preferred: own, fallbacks: others } = this.affinity(host, team, ranked)
-    if (own.some(owner => owner.id === host.id)) return []
+    const { preferred, fallbacks } = this.affinity(host, team, ranked)
+    if (preferred.some(owner => owner.id === host.id)) return []
     const fromHost = (owner: PoolHost) => weightOf(`${host.id}/${owner.id}`)
-    const places = [...[...own].sort((a, b) => fromHost(b) - fromHost(a)), ...others]
+    const places = [...[...preferred].sort((a, b) => fromHost(b) - fromHost(a)), ...fallbacks]
     return places.filter(owner => owner.id !== host.id)
   }
 
-  /** Where a host that isn't an owner passes a session on, the best first: its own data centre, then by a weight that spreads the hosts over the owners. */
+  /**
+   * Where a host that isn't an owner forwards a session, the best first: owners in its data centre, then by a hash that spreads the hosts over the owners.
+   */
   forwardingTargets (host: PoolHost, team?: TeamShare): readonly PoolHost[] {
     if (team !== undefined) return this.teamForwardingTargets(host, team)
     if (this.isOwner(host.id)) return []
     const weight = (owner: PoolHost) => weightOf(`${host.id}/${owner.id}`)
-    const isFar = (owner: PoolHost) => owner.dataCentre === host.dataCentre ? 0 : 1
-    return [...this.owners].sort((a, b) => isFar(a) - isFar(b) || weight(b) - weight(a))
+    const distance = (owner: PoolHost) => owner.dataCentre === host.dataCentre ? 0 : 1
+    return [...this.owners].sort((a, b) => distance(a) - distance(b) || weight(b) - weight(a))
   }
 }
 
--- a/src/core/pool/placing/ownerships.test.ts
+++ b/src/core/pool/placing/ownerships.test.ts
@@ -1,4 +1,4 @@
-/** Few owners for each group: how many, which, and that all hosts agree on them. */
+/** Few owners for each group: how many, which ones, and that all hosts agree on them. */
 
 import { describe, expect, it } from 'vitest'
 import type { DataCentreId } from '../../id/datacentre.ts'
@@ -13,7 +13,7 @@
 const WEAK = 0.3
 const STRONG = 1.5
 
-/** So many hosts over three data centres, the first of them strong. */
+/** Hosts spread evenly over three data centres, the first ones of high capacity. */
 function hosts (count: number, strong = 0, capacity: number | undefined = WEAK): PoolHost[] {
   return Array.from({ length: count }, (_, i) => ({ id: `h${i}` as HostId, dataCentre: `z${i % 3}` as DataCentreId, address: { ip: '10.0.0.1', port: i + 1 }, linkPort: 1, capacity: i < strong ? STRONG : capacity }))
 }
@@ -25,8 +25,8 @@
 }
 
 function ownersOf (all: readonly PoolHost[], connections = 63, places = 5): string[] {
-  const made = Ownerships.of(groups(connections, places), all, true, singleOwnerAffinity)
-  return ids.flatMap(id => made.get(id)!.owners.map(owner => `${id}/${owner.id}`))
+  const ownerships = Ownerships.of(groups(connections, places), all, true, singleOwnerAffinity)
+  return ids.flatMap(id => ownerships.get(id)!.owners.map(owner => `${id}/${owner.id}`))
 }
 
 const hostOf = (owner: string) => owner.split('/')[1]!
@@ -37,25 +37,25 @@
     ['few places', 64, 22, 2, WEAK, 3, 3],
     ['more where hosts are weak', 195, 58, 2, 0.05, 7, 4],
     ['no more than keep enough connections', 82, 63, 5, 0.01, 3, 10],
-    ['fewer than data centres where connections lack', 20, 8, 2, WEAK, 2, 2]
+    ['fewer than data centres where connections are scarce', 20, 8, 2, WEAK, 2, 2]
   ])('%s', (_, count, connections, places, capacity, owners, share) => {
-    const made = Ownerships.of(groups(connections, places), hosts(count, 0, capacity), true, singleOwnerAffinity).get(ids[0]!)!
-    expect([made.owners.length, made.connectionsPerOwner, made.hasSpareConnections]).toEqual([owners, share, true])
+    const ownerships = Ownerships.of(groups(connections, places), hosts(count, 0, capacity), true, singleOwnerAffinity).get(ids[0]!)!
+    expect([ownerships.owners.length, ownerships.connectionsPerOwner, ownerships.hasSpareConnections]).toEqual([owners, share, true])
     expect(2 * owners * share).toBeLessThanOrEqual(connections)
-    expect(new Set(made.owners.map(({ dataCentre }) => dataCentre)).size).toBe(Math.min(3, owners))
+    expect(new Set(ownerships.owners.map(({ dataCentre }) => dataCentre)).size).toBe(Math.min(3, owners))
   })
 
   it.each<[string, PoolHost[], number]>([
-    ['places aren\'t told', hosts(82), 0],
+    ['places aren\'t reported', hosts(82), 0],
     ['no host tells its capacity', hosts(82).map(({ capacity, ...host }) => host), 5],
-    ['everybody owns the group', hosts(7), 5]
-  ])('are picked as ever where %s', (_, all, places) => {
+    ['every host owns the group', hosts(7), 5]
+  ])('are chosen by hash alone where %s', (_, all, places) => {
     const plain = Ownership.of(ids[0]!, all, 63, true)
-    const made = Ownerships.of(groups(63, places), all, true, singleOwnerAffinity).get(ids[0]!)!
-    expect([made.owners, made.connectionsPerOwner, made.hasSpareConnections, made.failoverOrder]).toEqual([plain.owners, plain.connectionsPerOwner, plain.hasSpareConnections, plain.failoverOrder])
+    const ownerships = Ownerships.of(groups(63, places), all, true, singleOwnerAffinity).get(ids[0]!)!
+    expect([ownerships.owners, ownerships.connectionsPerOwner, ownerships.hasSpareConnections, ownerships.failoverOrder]).toEqual([plain.owners, plain.connectionsPerOwner, plain.hasSpareConnections, plain.failoverOrder])
   })
 
-  it('are strong first, but none owns far more groups than its part of the capacity', () => {
+  it('are strong hosts first, but none owns far more groups than its share of the capacity', () => {
     const all = hosts(82, 6)
     const owned = ownersOf(all).map(hostOf)
     const countOf = ({ id }: PoolHost) => owned.filter(owner => owner === id).length
@@ -65,12 +65,12 @@
     expect(all.slice(0, 6).reduce((sum, host) => sum + countOf(host), 0)).toBeGreaterThan(6)
   })
 
-  it('are the same whatever the order in which a host learnt of them', () => {
+  it('are the same whatever the order of the hosts', () => {
     const all = hosts(82, 6)
     expect(ownersOf([...all].reverse())).toEqual(ownersOf(all))
   })
 
-  it.each([82, 300])('hardly move when one of %d hosts comes or goes', count => {
+  it.each([82, 300])('hardly change when one of %d hosts joins or leaves', count => {
     const all = hosts(count, 6)
     const before = new Set(ownersOf(all))
     const moved = all.map(({ id }) => {
@@ -81,22 +81,20 @@
     expect(moved.reduce((sum, one) => sum + one, 0) / count).toBeLessThan(0.25)
   })
 
-  // Callers of one group wait for as long as a dead host stands in the list, though two owners have connections to spare.
-  // A strong host, which owns the most groups, is killed; every other host takes it out of its list.
-  it('when one is killed, its groups have the next owners alike at every host, and those that stay can fill all places', () => {
+  // All hosts must agree on the owners that remain when one with many groups dies, and those must be able to use all places.
+  it('when one is killed, every host agrees on its successors, and the remaining owners can use all places', () => {
     const all = hosts(82, 6)
     const left = all.slice(1)
-    const made = Ownerships.of(groups(63, 5), left, true, singleOwnerAffinity)
+    const ownerships = Ownerships.of(groups(63, 5), left, true, singleOwnerAffinity)
     for (const id of ids) {
-      expect(made.get(id)!.owners.length).toBe(3)
-      expect(made.get(id)!.connectionsPerOwner).toBeGreaterThanOrEqual(2 * 5)
-      expect(new Set(left.map(host => made.get(id)!.forwardingTargets(host, { id: 't' as TeamId, share: 0.01 })[0]?.id ?? host.id)).size).toBe(1)
+      expect(ownerships.get(id)!.owners.length).toBe(3)
+      expect(ownerships.get(id)!.connectionsPerOwner).toBeGreaterThanOrEqual(2 * 5)
+      expect(new Set(left.map(host => ownerships.get(id)!.forwardingTargets(host, { id: 't' as TeamId, share: 0.01 })[0]?.id ?? host.id)).size).toBe(1)
     }
   })
 
-  // A group would have as many owners as hosts, each with all its connections, if each host that sees another list picked others.
-  // The list is cut in two halves that see one another no more; each half picks from its own.
-  it('of two halves of the hosts that don\'t see each other have room for their connections', () => {
+  // Each half of a network partition picks its own owners; both halves together must not exceed an endpoint's connections.
+  it('of two halves of a partition have enough connections together', () => {
     const all = hosts(82, 6)
     const halves = [all.filter((_, i) => i % 2 === 0), all.filter((_, i) => i % 2 === 1)].map(half => Ownerships.of(groups(63, 5), half, true, singleOwnerAffinity).get(ids[0]!)!)
     expect(halves.reduce((sum, { owners, connectionsPerOwner: share }) => sum + owners.length * share, 0)).toBeLessThanOrEqual(63)
@@ -105,19 +103,19 @@
 
 describe('sessions of a team', () => {
   const all = hosts(82, 6)
-  const made = Ownerships.of(groups(63, 5), all, true, singleOwnerAffinity).get(ids[0]!)!
-  const metBy = (share: number) => new Set(all.map(host => made.forwardingTargets(host, { id: 't1' as TeamId, share })[0]?.id ?? host.id))
+  const ownerships = Ownerships.of(groups(63, 5), all, true, singleOwnerAffinity).get(ids[0]!)!
+  const ownersUsedBy = (share: number) => new Set(all.map(host => ownerships.forwardingTargets(host, { id: 't1' as TeamId, share })[0]?.id ?? host.id))
 
-  it.each([[0.01, 1], [0.16, 1], [0.2, 3], [0.6, 3]])('with a part of %d meet at %d owners', (share, owners) => expect(metBy(share).size).toBe(owners))
+  it.each([[0.01, 1], [0.16, 1], [0.2, 3], [0.6, 3]])('with a share of %d use %d owners', (share, owners) => expect(ownersUsedBy(share).size).toBe(owners))
 
   it('of a large team stay in their data centre', () => {
-    for (const host of all) expect(made.forwardingTargets(host, { id: 't1' as TeamId, share: 0.5 })[0]?.dataCentre ?? host.dataCentre).toBe(host.dataCentre)
+    for (const host of all) expect(ownerships.forwardingTargets(host, { id: 't1' as TeamId, share: 0.5 })[0]?.dataCentre ?? host.dataCentre).toBe(host.dataCentre)
   })
 
   it('of many teams are spread over all owners', () => {
     const counts = new Map<string, number>()
     for (let i = 0; i < 90; i++) {
-      const [owner] = made.forwardingTargets(all[81]!, { id: `t${i}` as TeamId, share: 0.01 })
+      const [owner] = ownerships.forwardingTargets(all[81]!, { id: `t${i}` as TeamId, share: 0.01 })
       counts.set(owner!.id, (counts.get(owner!.id) ?? 0) + 1)
     }
     expect(Math.min(...counts.values())).toBeGreaterThan(15)
--- a/src/core/pool/placing/rankhosts.ts
+++ b/src/core/pool/placing/rankhosts.ts
@@ -1,19 +1,16 @@
-/** Ranks hosts for a purpose, by rendezvous weights that respect what hosts carry. */
+/** Ranks hosts for a purpose by weighted rendezvous hashing. */
 
 import { weightOf } from '../../weight.ts'
 import { hostCapacity } from './hostcapacity.ts'
 import type { PoolHost } from './host.ts'
 
-/**
- * A host of twice the speed is drawn for twice the groups at the same load of its processor, and twice as often again since a statement passes it in
- * half the time.
- */
+/** A host of twice the capacity gets twice the groups at equal utilisation, and twice as many again because each statement takes it half the time. */
 const CAPACITY_EXPONENT = 2
 const HASH_RANGE = 2 ** 32
 
 /**
- * The first first. Each host draws a number between 0 and 1 and takes it to the power of 1 over its weight, so that it's the first with a chance that is its
- * part of all weights, and a host that comes or goes changes the order of no two others.
+ * The best host first. Each host's hash, as a number between 0 and 1, is raised to the power of 1 over its weight, so that a host comes first with a
+ * probability proportional to its weight, and adding or removing a host doesn't change the order of the others.
  */
 export function rankHosts (purpose: string, hosts: readonly PoolHost[]): readonly PoolHost[] {
   return hosts
--- a/src/core/pool/placing/reachinghosts.ts
+++ b/src/core/pool/placing/reachinghosts.ts
@@ -9,13 +9,12 @@
   readonly at: Instant
 }
 
-/** An endpoint that stays out of reach is asked about once a second or so, and each time its objectors say so again; one that is missed doesn't count. */
+/** Hosts ask about an unreachable endpoint about once a second, and each answer renews the objections; this allows for one lost answer. */
 const EXPIRY_MS = 2500
 
 /**
- * Guard against a primary that most hosts lost while one still reaches it: it's
- * rightly not replaced, and the others' callers are refused for as long as the
- * cut lasts. Whoever objects can run their statements. Immutable.
+ * Immutable. A primary that most hosts have lost isn't replaced while another host still reaches it. Hosts that object to its replacement can run
+ * statements there for the hosts that don't reach it.
  */
 export class ReachingHosts {
   private constructor (private readonly byEndpoint: ReadonlyMap<EndpointId, readonly Objection[]>) {}
--- a/src/core/pool/placing/singleowneraffinity.ts
+++ b/src/core/pool/placing/singleowneraffinity.ts
@@ -1,15 +1,14 @@
-/** Sessions of a small team meet at one owner of all, those of a large one in each data centre. */
+/** Routes all sessions of a small team to one owner, and those of a large team to owners in each data centre. */
 
 import { dataCentreAffinity } from './datacentreaffinity.ts'
 import type { TeamAffinity } from './teamaffinity.ts'
 
-/** A team is kept at one owner up to this part of what an owner carries: the rest is for the other teams that meet there, and for uneven sessions. */
+/** A team up to this fraction of an owner's load uses a single owner; the rest is left for other teams of that owner and for uneven sessions. */
 const MAX_SHARE_OF_OWNER = 0.5
 
 /**
- * Against connections that are opened for one statement and closed for the next: one serves a single team, and a team that meets in each data
- * centre needs one at each of these owners, where it's unused for longer. All hosts rank the owners alike, so that a team whose owner is gone meets again
- * at the next one.
+ * Each connection serves a single team. A team with owners in every data centre needs connections at each of them, where they are idle longer and are
+ * closed and reopened more often. All hosts rank the owners alike, so that if the owner fails, all sessions of the team move to the same next one.
  */
 export const singleOwnerAffinity: TeamAffinity = (host, team, ranked) => {
   const isSmall = team.share * ranked.length <= MAX_SHARE_OF_OWNER
--- a/src/core/pool/placing/teamaffinity.test.ts
+++ b/src/core/pool/placing/teamaffinity.test.ts
@@ -1,4 +1,4 @@
-/** How many connections are opened for teams, by where their sessions meet. */
+/** How many connections are opened for teams, depending on the affinity of their sessions. */
 
 import { describe, expect, it } from 'vitest'
 import type { DataCentreId } from '../../id/datacentre.ts'
@@ -23,7 +23,10 @@
   until: number
 }
 
-/** Connections opened for one statement, at one endpoint that gets so many a second: an owner closes the one that is unused for longest, and opens another. */
+/**
+ * Connections opened per statement, at one endpoint with this many statements per second: an owner closes the connection that was idle longest to open one
+ * for another team.
+ */
 function openedFor (ownership: Ownership, perSecond: number): number {
   const open = new Map<string, Connection[]>()
   let seed = 1
@@ -51,7 +54,7 @@
 }
 
 describe('connections that are opened for teams', () => {
-  it.each([20, 60, 120])('are fewer where each small team meets at one owner: %d statements a second', perSecond => {
+  it.each([20, 60, 120])('are fewer where each small team uses a single owner: %d statements a second', perSecond => {
     const [many, centre, one] = [Ownership.of('g' as GroupId, hosts, 63, true), few(dataCentreAffinity), few(singleOwnerAffinity)].map(ownership => openedFor(ownership, perSecond))
     expect(one!).toBeLessThan(0.7 * centre!)
     expect(one!).toBeLessThan(0.7 * many!)
--- a/src/core/pool/placing/teamaffinity.ts
+++ b/src/core/pool/placing/teamaffinity.ts
@@ -1,14 +1,14 @@
-/** At which of a group's owners the sessions of one team meet. */
+/** Which owners of a group the sessions of a team are routed to. */
 
 import type { PoolHost } from './host.ts'
 import type { TeamShare } from './teamshare.ts'
 
 interface OwnerPreference {
-  /** Owners among which a host's sessions of the team are spread. */
+  /** Owners over which a host spreads its sessions of the team. */
   readonly preferred: readonly PoolHost[]
-  /** The owners behind these, the best first, for when none of them is reached. */
+  /** The remaining owners, the best first, for when no preferred one can be reached. */
   readonly fallbacks: readonly PoolHost[]
 }
 
-/** For the sessions that a host got; `ranked`: all owners in an order that is the team's own, the same at every host. */
+/** Called for the sessions that `host` received; `ranked`: all owners in an order specific to the team, the same at every host. */
 export type TeamAffinity = (host: PoolHost, team: TeamShare, ranked: readonly PoolHost[]) => OwnerPreference
--- a/src/core/pool/placing/teamshare.ts
+++ b/src/core/pool/placing/teamshare.ts
@@ -1,9 +1,9 @@
-/** A team, and how much it may ask. */
+/** A team and its share of what all teams may ask. */
 
 import type { TeamId } from '../../id/team.ts'
 
 export interface TeamShare {
   readonly id: TeamId
-  /** The part of all that teams may ask; from 0 to 1. */
+  /** From 0 to 1. */
   readonly share: number
 }
--- a/src/core/pool/placing/unreachablehosts.ts
+++ b/src/core/pool/placing/unreachablehosts.ts
@@ -4,13 +4,10 @@
 import type { Instant } from '../../id/instant.ts'
 import type { PoolHost } from './host.ts'
 
-/** A host that is started again takes sessions after about a second; one that was missed wrongly is back as soon. */
+/** A restarted host accepts sessions after about a second, and a host that was recorded by mistake is tried again as soon. */
 const EXPIRY_MS = 1000
 
-/**
- * Guard against sign-ins that each wait out the same dead host: it stays in the
- * table of hosts for up to a minute. One that was missed is tried after all others. Immutable.
- */
+/** Immutable. A dead host stays in the table of hosts for up to a minute; trying it after all others keeps each new session from waiting for its timeout. */
 export class UnreachableHosts {
   private constructor (private readonly failedAt: ReadonlyMap<HostId, Instant>) {}
 
@@ -21,9 +18,9 @@
     return new UnreachableHosts(new Map([...kept, [id, now]]))
   }
 
-  /** The same hosts, those that were missed lately last. */
+  /** The same hosts, with those that couldn't be reached lately at the end. */
   last (hosts: readonly PoolHost[], now: Instant): readonly PoolHost[] {
-    const isMissed = ({ id }: PoolHost) => now - (this.failedAt.get(id) ?? -Infinity) < EXPIRY_MS
-    return [...hosts.filter(host => !isMissed(host)), ...hosts.filter(isMissed)]
+    const isUnreachable = ({ id }: PoolHost) => now - (this.failedAt.get(id) ?? -Infinity) < EXPIRY_MS
+    return [...hosts.filter(host => !isUnreachable(host)), ...hosts.filter(isUnreachable)]
   }
 }
--- a/src/core/pool/placing/usableconnections.ts
+++ b/src/core/pool/placing/usableconnections.ts
@@ -1,6 +1,6 @@
-/** Connections of an endpoint that are dealt to hosts. */
+/** Connections of an endpoint that may be shared out to hosts. */
 
-/** Connections of an endpoint that nobody is dealt: for hosts that just died, whose connections the endpoint still counts for seconds. */
+/** Kept free for hosts that have just died: the endpoint still counts their connections for a few seconds. */
 const RESERVED_CONNECTIONS = 2
 
 export function usableConnections (connections: number): number {
--- a/src/core/pool/reads/ageclock.test.ts
+++ b/src/core/pool/reads/ageclock.test.ts
@@ -1,28 +1,27 @@
-/** That no suspension is hidden from ages, whatever is done to the time of day. */
+/** Ages must count the time in which the host was suspended, whatever happens to its wall clock. */
 
 import { describe, expect, it } from 'vitest'
 import { AgeClock } from './ageclock.ts'
 
 /** The age, at the last pair of monotonic time and time of day, of what was sampled at the first. */
-function ageAfter (...looks: Array<readonly [monotonic: number, timeOfDay: number]>): number {
+function ageAfter (...readings: Array<readonly [monotonic: number, timeOfDay: number]>): number {
   const clock = AgeClock.create()
-  const instants = looks.map(([monotonic, timeOfDay]) => clock.at(monotonic, timeOfDay))
+  const instants = readings.map(([monotonic, timeOfDay]) => clock.at(monotonic, timeOfDay))
   return instants.at(-1)! - instants[0]!
 }
 
 describe('the age of a sample', () => {
-  // A caller reads a pin-out that was replaced five seconds ago, although at most 1.5 s are allowed.
-  // The host samples the primary, is suspended, and wakes; others commit meanwhile; the read arrives.
-  // The monotonic clock didn't count the suspension, so the sample still looked young.
+  // A host that samples the primary, is suspended, and wakes must not serve a read from the old sample: others have committed since, and the monotonic clock
+  // didn't advance.
   it.each<[string, Array<readonly [number, number]>, boolean]>([
     ['nothing happens', [[0, 1000], [500, 1500]], true],
     ['the time of day has whole milliseconds', [[0, 1000], [500.9, 1500]], true],
     ['suspended for 5 s', [[0, 1000], [500, 6500]], false],
-    ['suspended for 5 s, looked at twice', [[0, 1000], [500, 6500], [510, 6510]], false],
+    ['suspended for 5 s, read twice', [[0, 1000], [500, 6500], [510, 6510]], false],
     ['the time of day is set back', [[0, 10_000], [500, 8000]], false],
     ['set back by 2 s while suspended for 5 s', [[0, 10_000], [500, 13_500]], false],
-    ['slewed for a minute, looked at each second', Array.from({ length: 60 }, (_, i) => [i * 10, 1000 + i * 10.005] as const), true]
-  ])('%s', (_, looks, isYoung) => {
-    expect(ageAfter(...looks) <= 1500).toBe(isYoung)
+    ['slewed for a minute, read each second', Array.from({ length: 60 }, (_, i) => [i * 10, 1000 + i * 10.005] as const), true]
+  ])('%s', (_, readings, isYoung) => {
+    expect(ageAfter(...readings) <= 1500).toBe(isYoung)
   })
 })
--- a/src/core/pool/reads/candidates.test.ts
+++ b/src/core/pool/reads/candidates.test.ts
@@ -11,7 +11,10 @@
 
 const NOW = 1000 as Instant
 
-/** Endpoints as `id@dataCentre`, with `-` for one that leaves, `~` for one that was short just now, `x` for one out of reach, `q` for one with a queue, `o` for one to which a connection must be opened. */
+/**
+ * Endpoints as `id@dataCentre`, with `-` for one that is leaving, `~` for one that refused a read just now because it was behind, `x` for an unreachable
+ * one, `q` for one with a queue, `o` for one that needs a new connection.
+ */
 function order (primary: string, ...texts: string[]): string {
   const flags = new Map(texts.map(text => [text[0]!, text.slice(3)]))
   const has = (id: EndpointId, flag: string) => flags.get(id)!.includes(flag)
@@ -34,11 +37,11 @@
     ['the primary of the own data centre before a replica elsewhere', ['a@1', 'b@2', 'c@3'], 'abc'],
     ['a replica of the own data centre before the primary there', ['a@1', 'b@1', 'c@3'], 'bac'],
     ['a replica elsewhere once the primary has a queue', ['a@1q', 'b@2', 'c@3'], 'bca'],
-    ['a queue is worse than a hop', ['a@2', 'b@2', 'c@1q'], 'bac'],
+    ['another data centre before a queue', ['a@2', 'b@2', 'c@1q'], 'bac'],
     ['an open connection to another data centre before a new one', ['a@1o', 'b@2', 'c@1o'], 'bca'],
     ['a new connection before a queue', ['a@1q', 'b@2q', 'c@1o'], 'cab'],
-    ['one that is short just now is left out', ['a@2', 'b@1~'], 'a'],
-    ['one out of reach is left out', ['a@2', 'b@1x'], 'a'],
-    ['one that leaves is left out', ['a@2', 'b@1-'], 'a']
+    ['one that refused a read just now is left out', ['a@2', 'b@1~'], 'a'],
+    ['an unreachable one is left out', ['a@2', 'b@1x'], 'a'],
+    ['one that is leaving is left out', ['a@2', 'b@1-'], 'a']
   ])('%s', (_, texts, expected) => expect(order('a', ...texts)).toBe(expected))
 })
--- a/src/core/pool/reads/logprogress.ts
+++ b/src/core/pool/reads/logprogress.ts
@@ -1,4 +1,4 @@
-/** How far a group's log is known to reach, and which position a read must find. */
+/** How far a group's log is known to reach, and which position a read requires. */
 
 import type { Instant } from '../../id/instant.ts'
 import { Watermarks } from '../../routing/watermarks.ts'
@@ -6,27 +6,25 @@
 import { AgeClock } from './ageclock.ts'
 
 /**
- * What this process has proved of one group. Immutable; `with` yields the next.
+ * What this process knows for certain of one group's log. Immutable; `with` yields the next value.
  *
- * A mark is what the primary answered while it proved to lead; it covers every
- * commit that was acknowledged before the question was sent. Marks of an
- * earlier term are forgotten with the first of a newer one: a promotion may
- * have cut that log back, and a position that no log holds any more would be
- * waited for in vain.
+ * A watermark is a position that the primary answered while it proved to lead; it covers every commit that was acknowledged before the request was sent.
+ * Watermarks of earlier terms are discarded with the first one of a newer term: the promotion may have cut that log back, and a read would wait in vain
+ * for a position that no log contains any more.
  */
 export class LogProgress {
   private constructor (private readonly marks: Watermarks, private readonly newest: Token) {}
 
   static readonly empty = new LogProgress(Watermarks.empty, Token.zero)
 
-  /** Takes in a position that an endpoint answered, while it led, to something sent at the instant. */
+  /** Adds a position that an endpoint answered, while it led, to a request sent at the instant. */
   with (position: Token, sentAt: Instant): LogProgress {
     if (position.term < this.newest.term) return this
     const marks = position.term > this.newest.term ? Watermarks.empty : this.marks
     return new LogProgress(marks.with(position, sentAt), position.max(this.newest))
   }
 
-  /** How long ago the newest mark was asked for, in milliseconds; undefined without one. */
+  /** How long ago the newest watermark was requested, in milliseconds; undefined without one. */
   markAgeMs (now: Instant): number | undefined {
     const { newest } = this.marks
     return newest === undefined ? undefined : now - newest
@@ -37,14 +35,14 @@
     return this.newest.term
   }
 
-  /** When the primary was known to have the position; undefined when it isn't. */
+  /** When the primary was known to have the position; undefined if it isn't known to have it. */
   reachedAt (position: Token): Instant | undefined {
     return this.marks.reachedAt(position)
   }
 
   /**
-   * How far a replica is behind whose log ends at the position now, in milliseconds: at least so much, since it lacks what the primary had then, and at
-   * most so much, since it has what the primary hadn't yet; undefined when no such instant is known.
+   * The lag of a replica whose log ends at the position, in milliseconds. `minMs`: it lacks something that the primary had then; `maxMs`: it has something
+   * that the primary didn't have yet; undefined if no such instant is known.
    */
   lagBounds (position: Token, now: Instant): { readonly minMs: number, readonly maxMs: number | undefined } {
     const lacksSince = this.marks.passedAt(position)
@@ -53,11 +51,9 @@
   }
 
   /**
-   * The position that a read of this age must find; undefined when no mark is
-   * young enough, and the primary must be asked. The oldest mark that is young
-   * enough serves best, since most replicas have passed it. A session's own
-   * commit of an earlier term is covered by any mark of the newer one, or was
-   * cut off by the promotion and will never be found.
+   * The position that a read of at most this age requires; undefined if no watermark is recent enough, so that the primary must be asked. The oldest
+   * watermark that is recent enough is best, since most replicas have passed it. A session's own commit of an earlier term is either covered by any
+   * watermark of the newer term, or was cut off by the promotion and can't be found.
    */
   requiredPosition (own: Token, ageMs: number, now: Instant): Token | undefined {
     const bound = this.marks.boundSince(now - ageMs + AgeClock.toleranceMs as Instant)
--- a/src/core/pool/reads/rankendpoints.ts
+++ b/src/core/pool/reads/rankendpoints.ts
@@ -1,4 +1,4 @@
-/** Where a read goes in a group whose load is known over all owners: to the endpoint that answers soonest. */
+/** Ranks the endpoints of a group whose load is known over all owners, by the expected time until a read's answer. */
 
 import type { EndpointId } from '../../id/endpoint.ts'
 
@@ -6,66 +6,66 @@
   readonly id: EndpointId
   readonly isPrimary: boolean
   readonly isRemote: boolean
-  /** Whether a connection would have to be opened, since those that are unused serve other teams. */
+  /** Whether a new connection would have to be opened, since the idle ones serve other teams. */
   readonly needsNewConnection: boolean
   /** Statements that it works on at a time. */
   readonly places: number
-  /** Statements there and on their way there, of all owners. */
+  /** Statements of all owners that are there or on their way. */
   readonly load: number
-  /** How long a statement takes that finds a free place, the way with it; undefined when none was answered lately. */
+  /** How long one statement takes at a free place, with the round trip; undefined if none was answered lately. */
   readonly serviceTimeMs: number | undefined
-  /** The part that fails; from 0 to 1. */
+  /** Failure rate, from 0 to 1. */
   readonly failing: number
-  /** Until its log is expected to hold what the read needs, in milliseconds. */
+  /** Milliseconds until its log is expected to contain what the read needs. */
   readonly waitMs: number
-  /** The part of its reads that it keeps; from 0 to 1. */
+  /** The fraction of its reads that it keeps, from 0 to 1. */
   readonly part: number
-  /** Whether a single read has to show whether it's well again. */
+  /** Whether a single read should show if the ejected endpoint has recovered. */
   readonly isTrialDue: boolean
 }
 
-/** The prices, in statements of the group's usual length. The primary alone takes writes, so it serves reads only when it's sooner by as much as a whole one; */
+/** Costs are in statements of the group's typical length. Only the primary takes writes, so it serves reads only if it's faster by one statement. */
 const PRIMARY_COST = 1
-/** an opening takes a place for half a statement, which the read waits for and others lack; */
+/** Opening a connection occupies a place for half a statement; the read waits for it, and others lack the place. */
 const NEW_CONNECTION_COST = 1
-/** and another data centre costs the bytes of the way there; its time is in the times of answers already. */
+/** The bytes to another data centre; the time is already part of the response times. */
 const REMOTE_COST = 0.25
-/** However much an endpoint fails, so much of what it's asked is taken to be answered: else a group that fails as a whole couldn't be weighed. */
+/** Keeps the expected time finite in a group that fails as a whole. */
 const MIN_SUCCESS_RATE = 0.1
-/** While no time is known at all only the ratios count. */
+/** Used if no time is known; only the ratios matter then. */
 const DEFAULT_SERVICE_TIME_MS = 1
 
 /**
- * All candidates, the best first. A read waits for what is there and on its way there, by as many at a time as the endpoint has places, and then for its
- * own work; what fails has to be done once more, elsewhere. `chance`: from 0 to below 1, another for each call.
+ * All candidates, the best first. A read waits for the statements that are already there or on their way, as many at a time as the endpoint has places,
+ * and then for its own work; one that fails has to be repeated elsewhere. `chance`: yields numbers from 0 to below 1.
  *
- * Those that are put aside go last for the part of reads that they lost, but never most of the candidates: who is worse than two others is
- * judged by them, and the last one is better than none.
+ * Ejected endpoints come last for the fraction of reads that they lose. At most a minority of the candidates is treated so, since an endpoint counts as an
+ * outlier only by comparison with the others.
  */
 export function rankEndpoints (candidates: readonly Candidate[], chance: () => number): readonly EndpointId[] {
-  const usualMs = typicalServiceTime(candidates)
-  const asides = ejectedEndpoints(candidates)
+  const typicalMs = typicalServiceTime(candidates)
+  const ejected = ejectedEndpoints(candidates)
   const placed = candidates.map(one => {
-    const isLast = asides.has(one.id) && chance() >= one.part
-    return { id: one.id, order: one.isTrialDue ? 0 : isLast ? 2 : 1, ms: expectedMs(one, usualMs) }
+    const isLast = ejected.has(one.id) && chance() >= one.part
+    return { id: one.id, order: one.isTrialDue ? 0 : isLast ? 2 : 1, ms: expectedMs(one, typicalMs) }
   })
   return placed.sort((a, b) => a.order - b.order || a.ms - b.ms).map(({ id }) => id)
 }
 
-/** Until the answer, with the prices of what the read costs others. */
-function expectedMs (one: Candidate, usualMs: number): number {
-  const paceMs = one.serviceTimeMs ?? usualMs
-  const queueMs = one.load / one.places * paceMs
-  // What the primary was timed with are mostly other statements, and shorter ones.
-  const workMs = one.isPrimary ? Math.max(paceMs, usualMs) : paceMs
-  const prices = (one.isPrimary ? PRIMARY_COST : 0) + (one.needsNewConnection ? NEW_CONNECTION_COST : 0) + (one.isRemote ? REMOTE_COST : 0)
+/** Expected time until the answer, plus the costs of the read to others. */
+function expectedMs (one: Candidate, typicalMs: number): number {
+  const serviceTimeMs = one.serviceTimeMs ?? typicalMs
+  const queueMs = one.load / one.places * serviceTimeMs
+  // The primary's times are mostly those of other, shorter statements.
+  const workMs = one.isPrimary ? Math.max(serviceTimeMs, typicalMs) : serviceTimeMs
+  const costs = (one.isPrimary ? PRIMARY_COST : 0) + (one.needsNewConnection ? NEW_CONNECTION_COST : 0) + (one.isRemote ? REMOTE_COST : 0)
   const answered = Math.max(MIN_SUCCESS_RATE, 1 - one.failing)
-  return one.waitMs + (queueMs + workMs) / answered + prices * usualMs
+  return one.waitMs + (queueMs + workMs) / answered + costs * typicalMs
 }
 
-/** The least time of a replica: a slow one among them shouldn't make the primary dear. */
+/** The minimum over the replicas, so that a slow replica doesn't raise the primary's cost. */
 function typicalServiceTime (candidates: readonly Candidate[]): number {
-  const known = (isPrimary: boolean) => candidates.filter(one => one.isPrimary === isPrimary).map(({ serviceTimeMs: paceMs }) => paceMs).filter(ms => ms !== undefined)
+  const known = (isPrimary: boolean) => candidates.filter(one => one.isPrimary === isPrimary).map(({ serviceTimeMs }) => serviceTimeMs).filter(ms => ms !== undefined)
   const times = [known(false), known(true)].find(({ length }) => length > 0) ?? [DEFAULT_SERVICE_TIME_MS]
   return Math.min(...times)
 }
--- a/src/core/pool/reads/readbalancer.test.ts
+++ b/src/core/pool/reads/readbalancer.test.ts
@@ -1,4 +1,7 @@
-/** Where reads go while endpoints are bad, in virtual time: owners with reports of each other, and three endpoints of which the first is primary. */
+/**
+ * Where reads go while endpoints are unhealthy, in virtual time: several owners that exchange load reports, and three endpoints, the first of which is
+ * primary.
+ */
 
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { describe, expect, it } from 'vitest'
@@ -18,7 +21,7 @@
 const IDS = ['a', 'b', 'c'] as const
 const [OWNERS, EACH_MS, WORK_MS, REPORT_MS, FAILS, SLOW] = [4, 8, 20, 100, 0.45, 7.5]
 
-/** Reads of `OWNERS` owners by turns. A change concerns the first `forOwners` owners, or all; `links`: whether reports arrive between two owners. */
+/** Reads of `OWNERS` owners in turn. A change concerns the first `forOwners` owners, or all; `links`: whether reports arrive between two owners. */
 function play (changes: readonly Change[], endMs: number, links: (a: number, b: number) => boolean = () => true, reads: Read[] = []): readonly Read[] {
   const generator = xoroshiro128plus(7)
   const chance = () => (generator.next() >>> 0) / 0x100000000
@@ -58,16 +61,16 @@
   return { at: id => reports.get(id)! }
 }
 
-/** The part of the reads from one instant to another that went to the endpoint. */
+/** The fraction of the reads between two instants that went to the endpoint. */
 function part (reads: readonly Read[], endpoint: string, from: number, to: number, isCounted: (read: Read) => boolean = () => true): number {
   const there = reads.filter(read => read.at >= from && read.at < to && isCounted(read))
   return there.filter(read => read.endpoint === endpoint).length / there.length
 }
 
-describe('an endpoint that is bad', () => {
-  it.each<Health>(['grey', 'slow'])('%s: it gets single reads after a second, and its part again within a second and a half of being well', health => {
-    // Callers get errors, or answers that are late, for as long as an endpoint says that it's well and isn't.
-    // A replica fails 45% of its reads, or is 7.5 times slower, from 2 s to 6 s; its health answers stay good.
+describe('an unhealthy endpoint', () => {
+  it.each<Health>(['grey', 'slow'])('%s: it gets single reads after a second, and its share again within a second and a half of its recovery', health => {
+    // Callers must not keep getting errors or late answers from an endpoint whose own health check stays good. A replica fails 45% of its reads, or is 7.5
+    // times slower, from 2 s to 6 s.
     const reads = play([[2000, 'b', health], [6000, 'b', 'well']], 9000)
     expect(part(reads, 'b', 1000, 2000)).toBeGreaterThan(0.35)
     // Ten single reads a second, of 125.
@@ -75,45 +78,45 @@
     expect(part(reads, 'b', 7500, 9000)).toBeGreaterThan(0.35)
   })
 
-  it.each<Health>(['grey', 'slow'])('the whole group is %s: that is no outlier, and both replicas go on', health => {
-    // Under a load that makes all of them slow, or a statement that fails everywhere, the group would lose the endpoints that carry it.
+  it.each<Health>(['grey', 'slow'])('the whole group is %s: there is no outlier, and both replicas stay in use', health => {
+    // Where load or a failing statement affects all endpoints alike, ejecting some would overload the others.
     const reads = play(IDS.map(id => [0, id, health] as const), 6000)
     for (const id of ['b', 'c']) expect(part(reads, id, 2000, 6000)).toBeGreaterThan(0.25)
   })
 
-  it('the last good one turns bad: both bad ones serve, and the good one beside them', () => {
-    // All reads fall upon one endpoint that is as bad as those that were put aside, or upon the primary alone.
+  it('the last good one turns bad: all of them serve', () => {
+    // Endpoints that are as bad as the last good one must not stay ejected, or all reads fall on that one or on the primary.
     const reads = play([[1000, 'b', 'grey'], [3000, 'c', 'grey'], [5000, 'a', 'grey']], 9000)
     for (const id of ['b', 'c']) expect(part(reads, id, 7000, 9000)).toBeGreaterThan(0.25)
   })
 
-  it('it leaves while it is put aside: of the two that stay none is', () => {
-    // A replica that is put aside and leaves would count as the bad one, and the other replica as the last.
+  it('it leaves while it is ejected: neither of the two that stay is ejected', () => {
+    // An ejected replica that leaves must not count as the bad one, which would protect the next one from ejection.
     const reads = play([[1000, 'b', 'grey'], [3000, 'b', 'leaving'], [4000, 'c', 'grey']], 7000)
     expect(part(reads, 'b', 3000, 7000)).toBe(0)
     expect(part(reads, 'c', 5000, 7000)).toBeGreaterThan(0.2)
   })
 
-  it('two halves that judge differently: each goes by what its own callers get', () => {
-    // A replica fails for the hosts on one side of a cut, and the other side would lose it as well, or the two would argue.
+  it('two halves of a partition: each goes by what its own callers get', () => {
+    // An endpoint that fails only for hosts on one side of a partition must stay in use on the other.
     const reads = play([[1000, 'b', 'grey', 2]], 6000, (a, b) => (a < 2) === (b < 2))
     // Ten single reads a second, of the 62 that these two owners get.
     expect(part(reads, 'b', 3000, 6000, ({ owner }) => owner < 2)).toBeLessThan(0.2)
     expect(part(reads, 'b', 3000, 6000, ({ owner }) => owner >= 2)).toBeGreaterThan(0.35)
   })
 
-  it('one that starts anew under its id begins with its full part', () => {
-    // What was known of the old process would keep reads from a new one that never failed.
-    const it = ReadBalancer.create()
+  it('a new process under the same id begins with its full share', () => {
+    // The health of an old process must not keep reads from a new one under the same id.
+    const balancer = ReadBalancer.create()
     const id = 'b' as EndpointId
-    const look = (now: number) => it.evaluateHealth({ endpoints: IDS.map(one => ({ id: one as string as EndpointId, isLeaving: false }) as never), primary: 'a' as EndpointId }, now as Instant)
+    const evaluate = (now: number) => balancer.evaluateHealth({ endpoints: IDS.map(one => ({ id: one as string as EndpointId, isLeaving: false }) as never), primary: 'a' as EndpointId }, now as Instant)
     for (let now = 0; now < 1000; now += 10) {
-      it.health.sent(id, 1, now as Instant)('failed', now as Instant)
-      look(now)
+      balancer.health.sent(id, 1, now as Instant)('failed', now as Instant)
+      evaluate(now)
     }
-    expect(it.health.part(id)).toBe(0)
-    it.forget(id)
-    look(1100)
-    expect(it.health.part(id)).toBe(1)
+    expect(balancer.health.part(id)).toBe(0)
+    balancer.forget(id)
+    evaluate(1100)
+    expect(balancer.health.part(id)).toBe(1)
   })
 })
--- a/src/core/pool/reads/readbalancer.ts
+++ b/src/core/pool/reads/readbalancer.ts
@@ -1,4 +1,4 @@
-/** What a group's owner knows for placing reads where the load of all owners counts: health, lag, and what the others have. */
+/** What an owner of a group uses to place reads, considering the load of all owners: health, lag, and the other owners' load. */
 
 import type { Endpoint } from '../../directory/endpoint.ts'
 import type { DataCentreId } from '../../id/datacentre.ts'
@@ -17,17 +17,17 @@
   readonly primary: EndpointId | undefined
   readonly dataCentre: DataCentreId
   readonly progress: LogProgress
-  /** Until the read's time is up. */
+  /** Until the read's deadline. */
   readonly leftMs: number
   /** Operations of this owner that wait for a connection or a place there. */
   readonly queued: (id: EndpointId) => number
   readonly needsNewConnection: (id: EndpointId) => boolean
   readonly isReachable: (id: EndpointId) => boolean
-  /** Whether it didn't refuse a read for want of a position just now. */
+  /** Whether it hasn't just refused a read because it was behind. */
   readonly mayContain: (id: EndpointId) => boolean
 }
 
-/** By the clock of deadlines, and by that of ages. */
+/** `now` is read from the clock of deadlines, `age` from the `AgeClock`. */
 interface Times {
   readonly now: Instant
   readonly age: Instant
@@ -35,11 +35,11 @@
 
 interface ReadPlacement {
   readonly endpoint: EndpointId
-  /** The read is to be held for so long, since the endpoint won't have what it needs before; milliseconds. */
+  /** How long to hold the read, since the endpoint won't have what it needs before; milliseconds. */
   readonly waitMs: number
 }
 
-/** Changes in place: it's touched by every statement. */
+/** Changes in place, with every statement. */
 export class ReadBalancer {
   readonly health = GroupHealth.create()
   private readonly lags = new Map<EndpointId, ReplicaLag>()
@@ -51,34 +51,34 @@
     return new ReadBalancer(order)
   }
 
-  /** Takes what the others have from now on. */
+  /** Sets the load of the other owners. */
   setOthersLoad (othersLoad: OthersLoad): void {
     this.othersLoad = othersLoad
   }
 
-  /** Whether it's known how much each endpoint works on at a time. */
+  /** Whether every endpoint reports its places. */
   static isSupported (endpoints: readonly Endpoint[]): boolean {
     return endpoints.every(({ places }) => places !== undefined)
   }
 
-  /** Where a read goes next whose log must hold the position; undefined when no endpoint is left. `tried`: those that didn't do it. */
+  /** Where a read goes whose log must contain the position; undefined if no endpoint is left. `tried`: endpoints that have already failed to serve it. */
   place (view: View, position: Token, tried: ReadonlySet<EndpointId>, { now, age }: Times, chance: () => number): ReadPlacement | undefined {
     const candidates = this.candidates(view, position, { now, age })
     const endpoint = this.order(candidates, chance).find(id => !tried.has(id))
     if (endpoint === undefined) return undefined
-    const { isTrialDue: isTryDue, waitMs } = candidates.find(({ id }) => id === endpoint)!
-    if (isTryDue) this.health.recordTrial(endpoint, now)
+    const { isTrialDue, waitMs } = candidates.find(({ id }) => id === endpoint)!
+    if (isTrialDue) this.health.recordTrial(endpoint, now)
     this.lags.set(endpoint, this.lag(endpoint).withRead(position, age))
     return { endpoint, waitMs }
   }
 
-  /** Judges the endpoints; yields those that were put aside and those that are back. */
+  /** Evaluates the endpoints' health; returns those that were ejected and those that are back. */
   evaluateHealth ({ endpoints, primary }: Pick<View, 'endpoints' | 'primary'>, now: Instant): ReturnType<GroupHealth['evaluate']> {
-    const there = endpoints.filter(({ isLeaving }) => !isLeaving)
-    return this.health.evaluate(there.map(({ id }) => ({ id, isPrimary: id === primary })), this.othersLoad, now)
+    const staying = endpoints.filter(({ isLeaving }) => !isLeaving)
+    return this.health.evaluate(staying.map(({ id }) => ({ id, isPrimary: id === primary })), this.othersLoad, now)
   }
 
-  /** Statements at the endpoint for each of its places, of all owners, with one that goes there now. */
+  /** Statements of all owners at the endpoint per place, including one that is sent now. */
   statementsPerPlace ({ id, places }: Endpoint, now: Instant): number {
     return places === undefined ? 1 : (1 + this.health.atWork(id) + this.othersLoad.at(id, now).atWork) / places
   }
@@ -91,7 +91,7 @@
     this.lags.set(id, this.lag(id).withRefusal(age))
   }
 
-  /** The endpoint is gone, or began anew under its id. */
+  /** The endpoint is gone, or was restarted under the same id. */
   forget (id: EndpointId): void {
     this.lags.delete(id)
     this.health.forget(id)
@@ -105,20 +105,20 @@
       const mayServe = view.isReachable(id) && (isPrimary || (!endpoint.isLeaving && view.mayContain(id)))
       const waitMs = isPrimary ? 0 : this.lag(id).waitMs(position, progress.reachedAt(position), age)
       if (!mayServe || waitMs === undefined || waitMs >= view.leftMs) return []
-      const they = this.othersLoad.at(id, now)
-      const answers = this.health.responses(id)
+      const others = this.othersLoad.at(id, now)
+      const responses = this.health.responses(id)
       return [{
         id,
         isPrimary,
         isRemote: endpoint.dataCentre !== dataCentre,
         needsNewConnection: view.needsNewConnection(id),
         places: places ?? 1,
-        load: this.health.atWork(id) + view.queued(id) + they.atWork + they.waiting,
-        serviceTimeMs: answers.serviceTimeMs(now),
-        failing: answers.failing(now),
+        load: this.health.atWork(id) + view.queued(id) + others.atWork + others.waiting,
+        serviceTimeMs: responses.serviceTimeMs(now),
+        failing: responses.failing(now),
         waitMs,
         part: this.health.part(id),
-        isTrialDue: this.health.isTrialDue(id, they.owners, now)
+        isTrialDue: this.health.isTrialDue(id, others.owners, now)
       }]
     })
   }
--- a/src/core/pool/reads/replicalag.ts
+++ b/src/core/pool/reads/replicalag.ts
@@ -1,81 +1,81 @@
-/** How far one replica is behind, and when it will hold a position. */
+/** How far one replica is behind, and when its log will contain a position. */
 
 import type { Instant } from '../../id/instant.ts'
 import type { Token } from '../../token.ts'
 
 interface LagBounds {
-  /** It lacks something that the primary had so long ago; 0 when it lacks nothing that is known. */
+  /** The replica lacks something that the primary had this long ago; 0 if it lacks nothing that is known. */
   readonly minMs: number
-  /** It has something that the primary hadn't yet so long ago; undefined when that isn't known. */
+  /** The replica has something that the primary didn't have yet this long ago; undefined if unknown. */
   readonly maxMs: number | undefined
 }
 
-/** Measured with every answer: instants by the clock that tells ages. */
+/** Updated with every answer; instants are read from the `AgeClock`. */
 interface Measurement {
   readonly position: Token
   readonly seenAt: Instant
   /** Undefined until both bounds were known at once. */
   readonly lagMs: number | undefined
-  /** The least that it ever was: so far the replica is behind when nothing is wrong. */
+  /** The minimum lag seen, taken as the lag of a healthy replica. */
   readonly baselineMs: number
-  /** When it last refused a read for want of a position, */
+  /** When it last refused a read because it was behind. */
   readonly refusedAt: number
-  /** and when one was last sent to it although it wasn't known to hold the position. */
+  /** When a read was last sent to it although it wasn't known to contain the position. */
   readonly trialAt: number
 }
 
-/** A replica that was behind is asked again so often: it's to be used within this time of its catching up. */
+/** Interval between trial reads at a replica that is behind, and so the time within which it is used again after catching up. */
 const RETRY_MS = 100
-/** One that is so many times further behind than usual isn't waited for: nobody knows for how long. */
+/** A replica whose lag exceeds its baseline by this factor isn't waited for: nobody knows for how long. */
 const MAX_BASELINE_FACTOR = 2
-/** One that was never less than this behind, as seen by a host that started meanwhile, isn't as usual. */
+/** Upper bound of the baseline, for a host that started while the replica was already far behind. */
 const MAX_BASELINE_MS = 500
 
 /**
- * Against reads that are sent to a replica in vain: each costs a way there and back, and one that was seconds behind was asked over and over by every session. What an answer shows is
- * compared with what the primary had at which instant, so it's known when the replica will hold a position, as long as
- * its lag stays. It may end at any time, though, so a single read tries it again now and then. Immutable; each answer yields the next.
+ * Estimates from the answers of a replica when it will contain a position, so that no read is sent there in vain. Each answer's position is compared with
+ * what the primary had at which instant. The lag may end at any time, so a single read tries a replica that is far behind now and then. Immutable; each
+ * answer yields the next value.
  */
 export class ReplicaLag {
   private constructor (private readonly measurement: Measurement | undefined) {}
 
   static readonly unknown = new ReplicaLag(undefined)
 
-  answered (position: Token, { minMs: leastMs, maxMs: mostMs }: LagBounds, now: Instant): ReplicaLag {
+  answered (position: Token, { minMs, maxMs }: LagBounds, now: Instant): ReplicaLag {
     const before = this.measurement
-    const firstMs = mostMs === undefined ? undefined : (leastMs + mostMs) / 2
-    const lagMs = before?.lagMs === undefined ? firstMs : Math.max(leastMs, Math.min(before.lagMs, mostMs ?? Infinity))
-    const usualMs = Math.min(before?.baselineMs ?? Infinity, lagMs ?? Infinity)
-    return new ReplicaLag({ position, seenAt: now, lagMs, baselineMs: usualMs, refusedAt: before?.refusedAt ?? -Infinity, trialAt: before?.trialAt ?? -Infinity })
+    const middleMs = maxMs === undefined ? undefined : (minMs + maxMs) / 2
+    const lagMs = before?.lagMs === undefined ? middleMs : Math.max(minMs, Math.min(before.lagMs, maxMs ?? Infinity))
+    const baselineMs = Math.min(before?.baselineMs ?? Infinity, lagMs ?? Infinity)
+    return new ReplicaLag({ position, seenAt: now, lagMs, baselineMs, refusedAt: before?.refusedAt ?? -Infinity, trialAt: before?.trialAt ?? -Infinity })
   }
 
-  /** It refused a read since its log was short of what the read needs. */
+  /** The replica refused a read because its log didn't contain the position. */
   withRefusal (now: Instant): ReplicaLag {
     return this.measurement === undefined ? this : new ReplicaLag({ ...this.measurement, refusedAt: now })
   }
 
-  /** A read goes there for the position. */
+  /** A read that needs the position is sent to the replica. */
   withRead (position: Token, now: Instant): ReplicaLag {
     return this.measurement === undefined || !position.isAfter(this.measurement.position) ? this : new ReplicaLag({ ...this.measurement, trialAt: now })
   }
 
   /**
-   * Milliseconds until it's worth asking for the position, 0 for at once; undefined when it can't be told when. `passedAt`: when the primary was known to have the
-   * position; undefined where that isn't known.
+   * Milliseconds until the replica should be asked for the position, 0 for now; undefined if no time can be given. `reachedAt`: when the primary was known
+   * to have the position; undefined if unknown.
    */
   waitMs (position: Token, reachedAt: Instant | undefined, now: Instant): number | undefined {
     if (this.measurement === undefined) return 0
-    const { position: held, lagMs, baselineMs: usualMs, refusedAt: shortAt } = this.measurement
+    const { position: held, lagMs, baselineMs, refusedAt } = this.measurement
     if (!position.isAfter(held)) return 0
-    const leftMs = lagMs === undefined || reachedAt === undefined ? 0 : reachedAt + lagMs - now
-    if (leftMs <= 0) return now - shortAt >= RETRY_MS ? 0 : undefined
-    const asUsualMs = Math.min(usualMs, MAX_BASELINE_MS)
-    if (lagMs! <= asUsualMs * MAX_BASELINE_FACTOR) return leftMs
-    return this.isTrialDue(now) && now - reachedAt! >= asUsualMs ? 0 : undefined
+    const remainingMs = lagMs === undefined || reachedAt === undefined ? 0 : reachedAt + lagMs - now
+    if (remainingMs <= 0) return now - refusedAt >= RETRY_MS ? 0 : undefined
+    const healthyMs = Math.min(baselineMs, MAX_BASELINE_MS)
+    if (lagMs! <= healthyMs * MAX_BASELINE_FACTOR) return remainingMs
+    return this.isTrialDue(now) && now - reachedAt! >= healthyMs ? 0 : undefined
   }
 
   private isTrialDue (now: Instant): boolean {
-    const { seenAt, refusedAt: shortAt, trialAt: triedAt } = this.measurement!
-    return now - Math.max(seenAt, shortAt, triedAt) >= RETRY_MS
+    const { seenAt, refusedAt, trialAt } = this.measurement!
+    return now - Math.max(seenAt, refusedAt, trialAt) >= RETRY_MS
   }
 }
