--- a/src/core/pool/load/latencylimit.ts
+++ b/src/core/pool/load/latencylimit.ts
@@ -39,12 +39,12 @@
 
   /** `ms`: from sending a statement of the class to its answer. `most`: upper bound of the limit. */
   answered (ms: number, rank: number, most: number, now: Instant): void {
-    const { meanMs: mean, minMs: least } = this.latencies[rank] ?? { meanMs: ms, minMs: ms }
-    const next = mean + (ms - mean) * SAMPLE_WEIGHT
-    const floor = Math.min(least, next)
-    this.latencies[rank] = { meanMs: next, minMs: floor + (next - floor) * MIN_DRIFT_RATE }
+    const { meanMs, minMs } = this.latencies[rank] ?? { meanMs: ms, minMs: ms }
+    const nextMs = meanMs + (ms - meanMs) * SAMPLE_WEIGHT
+    const floorMs = Math.min(minMs, nextMs)
+    this.latencies[rank] = { meanMs: nextMs, minMs: floorMs + (nextMs - floorMs) * MIN_DRIFT_RATE }
     if (now - this.changedAt < CHANGE_INTERVAL_MS) return
     this.changedAt = now
-    this.limit = next > floor * SLOW_RATIO ? Math.max(1, this.limit * DECREASE_FACTOR) : Math.min(most, this.limit + INCREASE)
+    this.limit = nextMs > floorMs * SLOW_RATIO ? Math.max(1, this.limit * DECREASE_FACTOR) : Math.min(most, this.limit + INCREASE)
   }
 }
--- a/src/core/pool/load/ownerreports.test.ts
+++ b/src/core/pool/load/ownerreports.test.ts
@@ -13,9 +13,9 @@
 
 /** `a1.2 3/4` is the second report of the first incarnation of the host a, with 3 at work and 4 waiting; `a1.2 -` one without load. */
 function report (text: string) {
-  const [, host, life, number, atWork, waiting] = /^(\w)(\d+)\.(\d+) (?:(\d+)\/(\d+)|-)$/.exec(text)!
+  const [, host, incarnation, sequence, atWork, waiting] = /^(\w)(\d+)\.(\d+) (?:(\d+)\/(\d+)|-)$/.exec(text)!
   const load: EndpointLoad = { endpoint: E, atWork: Number(atWork), waiting: Number(waiting), answerMs: 10 * Number(atWork), failing: 0 }
-  return { incarnation: Number(life), load: { host: host as HostId, group: 'g' as GroupId, sequence: Number(number), endpoints: atWork === undefined ? [] : [load] } }
+  return { incarnation: Number(incarnation), load: { host: host as HostId, group: 'g' as GroupId, sequence: Number(sequence), endpoints: atWork === undefined ? [] : [load] } }
 }
 
 /** Reports as `AT: REPORT`, received from the owners a, b and c. */
--- a/src/core/pool/load/ownerreports.ts
+++ b/src/core/pool/load/ownerreports.ts
@@ -51,7 +51,7 @@
   /** Without the load of expired reports; their sequence numbers stay, so that older reports aren't accepted as new. */
   withoutExpired (now: Instant): OwnerReports {
     if (this.silent(now).length === 0) return this
-    const emptied = ({ report: { incarnation: life, load }, at }: ReceivedReport): ReceivedReport => ({ at, report: { incarnation: life, load: { ...load, endpoints: [] } } })
+    const emptied = ({ report: { incarnation, load }, at }: ReceivedReport): ReceivedReport => ({ at, report: { incarnation, load: { ...load, endpoints: [] } } })
     return new OwnerReports(this.otherOwners, new Map([...this.heard].map(([id, heard]) => [id, this.isValid(heard, now) ? heard : emptied(heard)])))
   }
 
@@ -69,10 +69,10 @@
   }
 
   /** After the time of day was set back, a new incarnation may have a lower number; its reports are accepted once those of the other have expired. */
-  private isNewer ({ incarnation: life, load }: LoadReport, known: ReceivedReport, now: Instant): boolean {
+  private isNewer ({ incarnation, load }: LoadReport, known: ReceivedReport, now: Instant): boolean {
     const { report } = known
-    if (life === report.incarnation) return load.sequence > report.load.sequence
-    return life > report.incarnation || !this.isValid(known, now)
+    if (incarnation === report.incarnation) return load.sequence > report.load.sequence
+    return incarnation > report.incarnation || !this.isValid(known, now)
   }
 
   private isValid ({ at }: ReceivedReport, now: Instant): boolean {
--- a/src/core/pool/load/placelimit.ts
+++ b/src/core/pool/load/placelimit.ts
@@ -1,4 +1,4 @@
-/** How many of an endpoint's places this host may use now. */
+/** How many of an endpoint's places (permits for one statement or connection opening each) this host may use now. */
 
 import type { Instant } from '../../id/instant.ts'
 import { LatencyLimit } from './latencylimit.ts'
@@ -11,7 +11,7 @@
  * another one uses less than its share.
  */
 const SPARE_RATIO = 1 / 2
-/** Maximum fraction of the places to use while no other owner's reports are received: others have more likely become unheard than stopped. */
+/** Maximum fraction of the places to use while no other owner's reports are received: it is more likely that their reports are lost than that they have stopped. */
 const NO_REPORTS_RATIO = 1 / 2
 /** Time constant of the mean of this host's own demand: the time of a few statements. */
 const DEMAND_TIME_CONSTANT_MS = 50
--- a/src/core/pool/load/placescheduler.ts
+++ b/src/core/pool/load/placescheduler.ts
@@ -1,5 +1,5 @@
 /**
- * The queue for one endpoint's places on this host.
+ * The queue for one endpoint's places on this host. A place is a permit for one statement or connection opening at the endpoint.
  *
  * An endpoint works on a few statements at a time and queues more, first come, first served, without knowing classes or callers. So this host sends it no
  * more than its share of the places and keeps the rest here: ordered by class, within a class transactions that have begun first, then fair by caller.
@@ -174,9 +174,9 @@
    * wait.
    */
   private refuseExpired (now: Instant): void {
-    for (const line of this.queues) {
-      line.tidy()
-      const late = [...line.inTurn(now)].filter(([order, ahead]) =>
+    for (const queue of this.queues) {
+      queue.tidy()
+      const late = [...queue.inTurn(now)].filter(([order, ahead]) =>
         this.waitMs(order, ahead, now) * GIVE_UP_FACTOR + this.serviceTimeOf(order).at(now) > order.deadline - now)
       for (const [order] of late) this.refuse(order)
     }
--- a/src/core/pool/load/reportcodec.ts
+++ b/src/core/pool/load/reportcodec.ts
@@ -18,22 +18,22 @@
 
 export const reportCodec = {
   /** If there are more endpoints than fit, includes those with the most load. */
-  encode: ({ incarnation: life, load: { host, group, sequence: number, endpoints } }: LoadReport): string => {
+  encode: ({ incarnation, load: { host, group, sequence, endpoints } }: LoadReport): string => {
     const most = [...endpoints].sort((a, b) => b.atWork + b.waiting - a.atWork - a.waiting).slice(0, MAX_ENDPOINTS)
-    return JSON.stringify([host, group, life, number, most.map(encodeEndpoint)])
+    return JSON.stringify([host, group, incarnation, sequence, most.map(encodeEndpoint)])
   },
 
   /** Undefined for a text that can't be decoded, such as that of another program. */
   decode: (text: string): LoadReport | undefined => {
     const parsed = shape.safeParse(readJson(text))
     if (!parsed.success) return undefined
-    const [host, group, life, number, endpoints] = parsed.data
+    const [host, group, incarnation, sequence, endpoints] = parsed.data
     return {
-      incarnation: life,
+      incarnation,
       load: {
         host: host as HostId,
         group: group as GroupId,
-        sequence: number,
+        sequence,
         endpoints: endpoints.map(([id, atWork, waiting, answerMs, failing]) => ({ endpoint: id as EndpointId, atWork, waiting, answerMs: answerMs ?? undefined, failing }))
       }
     }
--- a/src/core/pool/placing/assignowners.ts
+++ b/src/core/pool/placing/assignowners.ts
@@ -44,14 +44,14 @@
  */
 export function assignOwners (groups: readonly GroupSize[], hosts: readonly PoolHost[]): ReadonlyMap<GroupId, readonly PoolHost[]> {
   const maxGroups = maxGroupsByHost(groups, hosts)
-  const owned = new Map<PoolHost, number>()
+  const groupCounts = new Map<PoolHost, number>()
   const ownersByGroup = new Map<GroupId, readonly PoolHost[]>()
   for (const group of [...groups].sort((a, b) => a.id < b.id ? -1 : 1)) {
-    const hasCapacity = (host: PoolHost) => (owned.get(host) ?? 0) < maxGroups.get(host)!
+    const hasCapacity = (host: PoolHost) => (groupCounts.get(host) ?? 0) < maxGroups.get(host)!
     // Hosts that have reached their maximum come last: too many groups on one host is better than a group without owners.
     const order = [...rankAcrossDataCentres(group.id, hosts.filter(hasCapacity)), ...rankAcrossDataCentres(group.id, hosts.filter(host => !hasCapacity(host)))]
     const owners = pickOwners(group, minOwners(group, hosts), order, host => hostCapacity.coresOf(host) / maxGroups.get(host)!)
-    for (const owner of owners) owned.set(owner, (owned.get(owner) ?? 0) + 1)
+    for (const owner of owners) groupCounts.set(owner, (groupCounts.get(owner) ?? 0) + 1)
     ownersByGroup.set(group.id, owners)
   }
   return ownersByGroup
--- a/src/core/pool/placing/connectionscarcity.ts
+++ b/src/core/pool/placing/connectionscarcity.ts
@@ -2,7 +2,7 @@
 
 import type { Instant } from '../../id/instant.ts'
 
-/** An endpoint still counts the connections of a host that lost power for about three seconds. */
+/** An endpoint still counts the connections of a host that lost power for about three seconds; a second is added as a margin. */
 const SCARCITY_MS = 4000
 /** Idle timeout while other hosts may lack a connection: about the time that opening one takes. */
 const IDLE_TIMEOUT_MS = 30
--- a/src/core/pool/placing/groupplaces.ts
+++ b/src/core/pool/placing/groupplaces.ts
@@ -19,8 +19,8 @@
   /** Returns the same object if nothing changed. */
   with (endpoints: readonly Endpoint[]): GroupPlaces {
     const reported = endpoints.filter(({ isLeaving }) => !isLeaving).map(({ places = 0 }) => places)
-    const each = Math.max(this.perEndpoint, ...reported)
-    const all = Math.max(this.total, reported.reduce((sum, places) => sum + places, 0))
-    return each === this.perEndpoint && all === this.total ? this : new GroupPlaces(each, all)
+    const perEndpoint = Math.max(this.perEndpoint, ...reported)
+    const total = Math.max(this.total, reported.reduce((sum, places) => sum + places, 0))
+    return perEndpoint === this.perEndpoint && total === this.total ? this : new GroupPlaces(perEndpoint, total)
   }
 }
--- a/src/core/pool/placing/ownership.test.ts
+++ b/src/core/pool/placing/ownership.test.ts
@@ -27,16 +27,16 @@
 
   // Owners must fit beside the dead connections that endpoints still count after a power loss of all hosts; else the new ones are refused and retried.
   it.each([[9, 16], [88, 40], [64, 22], [66, 98], [195, 58]])('%d hosts, %d connections: assigned owners fit beside as many dead connections', (count, connections) => {
-    const { owners: picked, connectionsPerOwner: share, hasSpareConnections: hasRoom } = owners(count, connections)
-    expect(hasRoom).toBe(true)
-    expect(2 * picked.length * share).toBeLessThanOrEqual(connections)
+    const { owners: assigned, connectionsPerOwner, hasSpareConnections } = owners(count, connections)
+    expect(hasSpareConnections).toBe(true)
+    expect(2 * assigned.length * connectionsPerOwner).toBeLessThanOrEqual(connections)
   })
 
   // Only owners notice that a primary is dead, so any other host that acts first delays the failover.
   it.each([[7, 16], [64, 22], [195, 58]])('%d hosts, %d connections: owners come first in the failover order', (count, connections) => {
-    const { owners: picked, failoverOrder: turns } = owners(count, connections)
-    expect(new Set(turns.slice(0, picked.length))).toEqual(new Set(picked.map(({ id }) => id)))
-    expect([turns.length, new Set(turns).size]).toEqual([count, count])
+    const { owners: assigned, failoverOrder } = owners(count, connections)
+    expect(new Set(failoverOrder.slice(0, assigned.length))).toEqual(new Set(assigned.map(({ id }) => id)))
+    expect([failoverOrder.length, new Set(failoverOrder).size]).toEqual([count, count])
   })
 
   it('are in all data centres', () => expect(new Set(owners(64, 22).owners.map(({ dataCentre }) => dataCentre)).size).toBe(3))
--- a/src/core/pool/placing/ownerships.test.ts
+++ b/src/core/pool/placing/ownerships.test.ts
@@ -39,10 +39,10 @@
     ['no more than keep enough connections', 82, 63, 5, 0.01, 3, 10],
     ['fewer than data centres where connections are scarce', 20, 8, 2, WEAK, 2, 2]
   ])('%s', (_, count, connections, places, capacity, owners, share) => {
-    const ownerships = Ownerships.of(groups(connections, places), hosts(count, 0, capacity), true, singleOwnerAffinity).get(ids[0]!)!
-    expect([ownerships.owners.length, ownerships.connectionsPerOwner, ownerships.hasSpareConnections]).toEqual([owners, share, true])
+    const ownership = Ownerships.of(groups(connections, places), hosts(count, 0, capacity), true, singleOwnerAffinity).get(ids[0]!)!
+    expect([ownership.owners.length, ownership.connectionsPerOwner, ownership.hasSpareConnections]).toEqual([owners, share, true])
     expect(2 * owners * share).toBeLessThanOrEqual(connections)
-    expect(new Set(ownerships.owners.map(({ dataCentre }) => dataCentre)).size).toBe(Math.min(3, owners))
+    expect(new Set(ownership.owners.map(({ dataCentre }) => dataCentre)).size).toBe(Math.min(3, owners))
   })
 
   it.each<[string, PoolHost[], number]>([
@@ -51,8 +51,8 @@
     ['every host owns the group', hosts(7), 5]
   ])('are chosen by hash alone where %s', (_, all, places) => {
     const plain = Ownership.of(ids[0]!, all, 63, true)
-    const ownerships = Ownerships.of(groups(63, places), all, true, singleOwnerAffinity).get(ids[0]!)!
-    expect([ownerships.owners, ownerships.connectionsPerOwner, ownerships.hasSpareConnections, ownerships.failoverOrder]).toEqual([plain.owners, plain.connectionsPerOwner, plain.hasSpareConnections, plain.failoverOrder])
+    const ownership = Ownerships.of(groups(63, places), all, true, singleOwnerAffinity).get(ids[0]!)!
+    expect([ownership.owners, ownership.connectionsPerOwner, ownership.hasSpareConnections, ownership.failoverOrder]).toEqual([plain.owners, plain.connectionsPerOwner, plain.hasSpareConnections, plain.failoverOrder])
   })
 
   it('are strong hosts first, but none owns far more groups than its share of the capacity', () => {
@@ -103,19 +103,19 @@
 
 describe('sessions of a team', () => {
   const all = hosts(82, 6)
-  const ownerships = Ownerships.of(groups(63, 5), all, true, singleOwnerAffinity).get(ids[0]!)!
-  const ownersUsedBy = (share: number) => new Set(all.map(host => ownerships.forwardingTargets(host, { id: 't1' as TeamId, share })[0]?.id ?? host.id))
+  const ownership = Ownerships.of(groups(63, 5), all, true, singleOwnerAffinity).get(ids[0]!)!
+  const ownersUsedBy = (share: number) => new Set(all.map(host => ownership.forwardingTargets(host, { id: 't1' as TeamId, share })[0]?.id ?? host.id))
 
   it.each([[0.01, 1], [0.16, 1], [0.2, 3], [0.6, 3]])('with a share of %d use %d owners', (share, owners) => expect(ownersUsedBy(share).size).toBe(owners))
 
   it('of a large team stay in their data centre', () => {
-    for (const host of all) expect(ownerships.forwardingTargets(host, { id: 't1' as TeamId, share: 0.5 })[0]?.dataCentre ?? host.dataCentre).toBe(host.dataCentre)
+    for (const host of all) expect(ownership.forwardingTargets(host, { id: 't1' as TeamId, share: 0.5 })[0]?.dataCentre ?? host.dataCentre).toBe(host.dataCentre)
   })
 
   it('of many teams are spread over all owners', () => {
     const counts = new Map<string, number>()
     for (let i = 0; i < 90; i++) {
-      const [owner] = ownerships.forwardingTargets(all[81]!, { id: `t${i}` as TeamId, share: 0.01 })
+      const [owner] = ownership.forwardingTargets(all[81]!, { id: `t${i}` as TeamId, share: 0.01 })
       counts.set(owner!.id, (counts.get(owner!.id) ?? 0) + 1)
     }
     expect(Math.min(...counts.values())).toBeGreaterThan(15)
--- a/src/core/pool/placing/rankhosts.ts
+++ b/src/core/pool/placing/rankhosts.ts
@@ -14,7 +14,7 @@
  */
 export function rankHosts (purpose: string, hosts: readonly PoolHost[]): readonly PoolHost[] {
   return hosts
-    .map(host => ({ host, draw: Math.log((weightOf(`${purpose}/${host.id}`) + 0.5) / HASH_RANGE) / hostCapacity.coresOf(host) ** CAPACITY_EXPONENT }))
-    .sort((a, b) => b.draw - a.draw || (a.host.id < b.host.id ? -1 : 1))
+    .map(host => ({ host, score: Math.log((weightOf(`${purpose}/${host.id}`) + 0.5) / HASH_RANGE) / hostCapacity.coresOf(host) ** CAPACITY_EXPONENT }))
+    .sort((a, b) => b.score - a.score || (a.host.id < b.host.id ? -1 : 1))
     .map(({ host }) => host)
 }
--- a/src/core/pool/placing/teamaffinity.test.ts
+++ b/src/core/pool/placing/teamaffinity.test.ts
@@ -16,7 +16,7 @@
 const HOSTS = 84
 const WORK_MS = 20
 const hosts: PoolHost[] = Array.from({ length: HOSTS }, (_, i) => ({ id: `h${i}` as HostId, dataCentre: `z${i % 3}` as DataCentreId, address: { ip: '10.0.0.1', port: 1 }, linkPort: 1 }))
-const few = (meeting: TeamAffinity) => Ownership.withOwners('g' as GroupId, hosts, 63, hosts.slice(0, 3), meeting)
+const few = (affinity: TeamAffinity) => Ownership.withOwners('g' as GroupId, hosts, 63, hosts.slice(0, 3), affinity)
 
 interface Connection {
   readonly team: number
@@ -27,7 +27,7 @@
  * Connections opened per statement, at one endpoint with this many statements per second: an owner closes the connection that was idle longest to open one
  * for another team.
  */
-function openedFor (ownership: Ownership, perSecond: number): number {
+function openedPerStatement (ownership: Ownership, perSecond: number): number {
   const open = new Map<string, Connection[]>()
   let seed = 1
   const chance = () => mix(seed++) / 2 ** 32
@@ -38,7 +38,7 @@
   for (let i = 0; i < count; i++) {
     const now = i * 1000 / perSecond
     let team = 0
-    for (let drawn = chance() * all - share(0); drawn > 0 && team < TEAMS - 1; drawn -= share(++team));
+    for (let random = chance() * all - share(0); random > 0 && team < TEAMS - 1; random -= share(++team));
     const host = hosts[Math.floor(chance() * HOSTS)]!
     const owner = ownership.forwardingTargets(host, { id: `t${team}` as TeamId, share: share(team) / all })[0]?.id ?? host.id
     const links = open.get(owner) ?? []
@@ -55,7 +55,7 @@
 
 describe('connections that are opened for teams', () => {
   it.each([20, 60, 120])('are fewer where each small team uses a single owner: %d statements a second', perSecond => {
-    const [many, centre, one] = [Ownership.of('g' as GroupId, hosts, 63, true), few(dataCentreAffinity), few(singleOwnerAffinity)].map(ownership => openedFor(ownership, perSecond))
+    const [many, centre, one] = [Ownership.of('g' as GroupId, hosts, 63, true), few(dataCentreAffinity), few(singleOwnerAffinity)].map(ownership => openedPerStatement(ownership, perSecond))
     expect(one!).toBeLessThan(0.7 * centre!)
     expect(one!).toBeLessThan(0.7 * many!)
   })
--- a/src/core/pool/reads/readbalancer.test.ts
+++ b/src/core/pool/reads/readbalancer.test.ts
@@ -19,20 +19,20 @@
 interface Read { readonly at: number, readonly owner: number, readonly endpoint: string, readonly isDone: boolean }
 
 const IDS = ['a', 'b', 'c'] as const
-const [OWNERS, EACH_MS, WORK_MS, REPORT_MS, FAILS, SLOW] = [4, 8, 20, 100, 0.45, 7.5]
+const [OWNERS, READ_INTERVAL_MS, WORK_MS, REPORT_INTERVAL_MS, FAILURE_RATE, SLOW_FACTOR] = [4, 8, 20, 100, 0.45, 7.5]
 
-/** Reads of `OWNERS` owners in turn. A change concerns the first `forOwners` owners, or all; `links`: whether reports arrive between two owners. */
-function play (changes: readonly Change[], endMs: number, links: (a: number, b: number) => boolean = () => true, reads: Read[] = []): readonly Read[] {
+/** Reads of `OWNERS` owners in turn. A change concerns the first `forOwners` owners, or all; `isConnected`: whether reports arrive between two owners. */
+function simulate (changes: readonly Change[], endMs: number, isConnected: (a: number, b: number) => boolean = () => true, reads: Read[] = []): readonly Read[] {
   const generator = xoroshiro128plus(7)
   const chance = () => (generator.next() >>> 0) / 0x100000000
   const owners = Array.from({ length: OWNERS }, () => ReadBalancer.create())
-  const answering: Array<{ readonly at: number, readonly answer: () => void }> = []
+  const pending: Array<{ readonly at: number, readonly answer: () => void }> = []
   const healthOf = (id: string, owner: number, now: number) => changes.findLast(([at, which, , forOwners = OWNERS]) => at <= now && which === id && owner < forOwners)?.[2] ?? 'well'
   for (let now = 0; now < endMs; now++) {
-    answering.filter(({ at }) => at === now).forEach(({ answer }) => answer())
-    if (now % REPORT_MS === 0) owners.forEach((owner, i) => owner.setOthersLoad(reportOf(owners.filter((_, j) => j !== i && links(i, j)), now as Instant)))
-    if (now % EACH_MS !== 0) continue
-    const owner = now / EACH_MS % OWNERS
+    pending.filter(({ at }) => at === now).forEach(({ answer }) => answer())
+    if (now % REPORT_INTERVAL_MS === 0) owners.forEach((owner, i) => owner.setOthersLoad(reportOf(owners.filter((_, j) => j !== i && isConnected(i, j)), now as Instant)))
+    if (now % READ_INTERVAL_MS !== 0) continue
+    const owner = now / READ_INTERVAL_MS % OWNERS
     const endpoints = IDS.map(id => ({
       id: id as string as EndpointId, group: 'g' as GroupId, address: { ip: '10.0.0.1', port: 1 }, dataCentre: 'z' as DataCentreId, isLeaving: healthOf(id, owner, now) === 'leaving', isPrimary: id === 'a', places: 5
     }))
@@ -40,10 +40,10 @@
     owners[owner]!.evaluateHealth(view, now as Instant)
     const { endpoint } = owners[owner]!.place(view, Token.zero, new Set(), { now: now as Instant, age: now as Instant }, chance)!
     const health = healthOf(endpoint, owner, now)
-    const isDone = health !== 'grey' || chance() >= FAILS
-    const ended = owners[owner]!.health.sent(endpoint, 1, now as Instant)
-    const ms = Math.ceil(WORK_MS * (0.5 + chance()) * (health === 'slow' ? SLOW : 1))
-    answering.push({ at: now + ms, answer: () => ended(isDone ? 'done' : 'failed', now + ms as Instant) })
+    const isDone = health !== 'grey' || chance() >= FAILURE_RATE
+    const onEnd = owners[owner]!.health.sent(endpoint, 1, now as Instant)
+    const ms = Math.ceil(WORK_MS * (0.5 + chance()) * (health === 'slow' ? SLOW_FACTOR : 1))
+    pending.push({ at: now + ms, answer: () => onEnd(isDone ? 'done' : 'failed', now + ms as Instant) })
     reads.push({ at: now, owner, endpoint, isDone })
   }
   return reads
@@ -63,15 +63,15 @@
 
 /** The fraction of the reads between two instants that went to the endpoint. */
 function part (reads: readonly Read[], endpoint: string, from: number, to: number, isCounted: (read: Read) => boolean = () => true): number {
-  const there = reads.filter(read => read.at >= from && read.at < to && isCounted(read))
-  return there.filter(read => read.endpoint === endpoint).length / there.length
+  const counted = reads.filter(read => read.at >= from && read.at < to && isCounted(read))
+  return counted.filter(read => read.endpoint === endpoint).length / counted.length
 }
 
 describe('an unhealthy endpoint', () => {
   it.each<Health>(['grey', 'slow'])('%s: it gets single reads after a second, and its share again within a second and a half of its recovery', health => {
     // Callers must not keep getting errors or late answers from an endpoint whose own health check stays good. A replica fails 45% of its reads, or is 7.5
     // times slower, from 2 s to 6 s.
-    const reads = play([[2000, 'b', health], [6000, 'b', 'well']], 9000)
+    const reads = simulate([[2000, 'b', health], [6000, 'b', 'well']], 9000)
     expect(part(reads, 'b', 1000, 2000)).toBeGreaterThan(0.35)
     // Ten single reads a second, of 125.
     expect(part(reads, 'b', 3000, 6000)).toBeLessThan(0.1)
@@ -80,26 +80,26 @@
 
   it.each<Health>(['grey', 'slow'])('the whole group is %s: there is no outlier, and both replicas stay in use', health => {
     // Where load or a failing statement affects all endpoints alike, ejecting some would overload the others.
-    const reads = play(IDS.map(id => [0, id, health] as const), 6000)
+    const reads = simulate(IDS.map(id => [0, id, health] as const), 6000)
     for (const id of ['b', 'c']) expect(part(reads, id, 2000, 6000)).toBeGreaterThan(0.25)
   })
 
   it('the last good one turns bad: all of them serve', () => {
     // Endpoints that are as bad as the last good one must not stay ejected, or all reads fall on that one or on the primary.
-    const reads = play([[1000, 'b', 'grey'], [3000, 'c', 'grey'], [5000, 'a', 'grey']], 9000)
+    const reads = simulate([[1000, 'b', 'grey'], [3000, 'c', 'grey'], [5000, 'a', 'grey']], 9000)
     for (const id of ['b', 'c']) expect(part(reads, id, 7000, 9000)).toBeGreaterThan(0.25)
   })
 
   it('it leaves while it is ejected: neither of the two that stay is ejected', () => {
     // An ejected replica that leaves must not count as the bad one, which would protect the next one from ejection.
-    const reads = play([[1000, 'b', 'grey'], [3000, 'b', 'leaving'], [4000, 'c', 'grey']], 7000)
+    const reads = simulate([[1000, 'b', 'grey'], [3000, 'b', 'leaving'], [4000, 'c', 'grey']], 7000)
     expect(part(reads, 'b', 3000, 7000)).toBe(0)
     expect(part(reads, 'c', 5000, 7000)).toBeGreaterThan(0.2)
   })
 
   it('two halves of a partition: each goes by what its own callers get', () => {
     // An endpoint that fails only for hosts on one side of a partition must stay in use on the other.
-    const reads = play([[1000, 'b', 'grey', 2]], 6000, (a, b) => (a < 2) === (b < 2))
+    const reads = simulate([[1000, 'b', 'grey', 2]], 6000, (a, b) => (a < 2) === (b < 2))
     // Ten single reads a second, of the 62 that these two owners get.
     expect(part(reads, 'b', 3000, 6000, ({ owner }) => owner < 2)).toBeLessThan(0.2)
     expect(part(reads, 'b', 3000, 6000, ({ owner }) => owner >= 2)).toBeGreaterThan(0.35)
--- a/src/core/pool/reads/replicalag.ts
+++ b/src/core/pool/reads/replicalag.ts
@@ -65,8 +65,8 @@
    */
   waitMs (position: Token, reachedAt: Instant | undefined, now: Instant): number | undefined {
     if (this.measurement === undefined) return 0
-    const { position: held, lagMs, baselineMs, refusedAt } = this.measurement
-    if (!position.isAfter(held)) return 0
+    const { position: contained, lagMs, baselineMs, refusedAt } = this.measurement
+    if (!position.isAfter(contained)) return 0
     const remainingMs = lagMs === undefined || reachedAt === undefined ? 0 : reachedAt + lagMs - now
     if (remainingMs <= 0) return now - refusedAt >= RETRY_MS ? 0 : undefined
     const healthyMs = Math.min(baselineMs, MAX_BASELINE_MS)
