--- a/src/core/pool/failover/groupfailover.mix.test.ts
+++ b/src/core/pool/failover/groupfailover.mix.test.ts
@@ -34,7 +34,7 @@
   lease: Lease | undefined
   leader: EndpointId | undefined
   unreachableSince: number | undefined
-  isFrozen = false
+  isSuspended = false
   isStoreReachable = true
   readonly unreached = new Set<EndpointId>()
   readonly refusedFences: number[] = []
@@ -54,7 +54,7 @@
   private version = 1
   private lease: { version: number, holder: HostId, asksFor: EndpointId | undefined } | undefined
   private highestFence = 0
-  private later: Array<{ at: number, run: () => void }> = []
+  private scheduled: Array<{ at: number, run: () => void }> = []
   private draws = 0
   private readonly objections = new Set<number>()
 
@@ -68,7 +68,7 @@
   }
 
   after (ms: number, run: () => void): void {
-    this.later.push({ at: this.now + ms, run })
+    this.scheduled.push({ at: this.now + ms, run })
   }
 
   endpoint (id: EndpointId): Endpoint {
@@ -77,8 +77,8 @@
 
   play (untilMs: number): void {
     for (; this.now < untilMs; this.now += TICK_MS) {
-      const due = this.later.filter(({ at }) => at <= this.now)
-      this.later = this.later.filter(({ at }) => at > this.now)
+      const due = this.scheduled.filter(({ at }) => at <= this.now)
+      this.scheduled = this.scheduled.filter(({ at }) => at > this.now)
       for (const { run } of due) run()
       for (const host of this.hosts) this.tick(host)
     }
@@ -89,7 +89,7 @@
   }
 
   private tick (host: Host): void {
-    if (host.isFrozen) return
+    if (host.isSuspended) return
     const isLost = host.leader !== undefined && !this.reaches(host, host.leader)
     host.unreachableSince = isLost ? host.unreachableSince ?? this.now : undefined
     // A replaced primary refuses writes, so a host that reaches it stops treating it as the leader.
@@ -98,7 +98,7 @@
   }
 
   step (host: Host, event: GroupFailoverEvent): void {
-    if (host.isFrozen) return this.after(TICK_MS, () => this.step(host, event))
+    if (host.isSuspended) return this.after(TICK_MS, () => this.step(host, event))
     const leaving = new Set(this.endpoints.filter(({ isLeaving }) => isLeaving).map(({ id }) => id))
     const { next, actions } = host.failover.step(event, {
       leader: host.leader,
@@ -140,27 +140,27 @@
   private claim (host: Host, asksFor: EndpointId | undefined): void {
     if (!host.isStoreReachable) return this.after(CALL_TIMEOUT_MS, () => this.step(host, { kind: 'claimLost' }))
     const expected = host.lease?.version ?? 0
-    const took = 10 + Math.floor(this.chance() * 60)
-    this.after(took, () => {
+    const tookMs = 10 + Math.floor(this.chance() * 60)
+    this.after(tookMs, () => {
       if ((this.lease?.version ?? 0) !== expected) return this.step(host, { kind: 'claimLost' })
       const version = ++this.version
       this.lease = { version, holder: host.id, asksFor }
-      for (const other of this.hosts) this.tellLease(other)
+      for (const other of this.hosts) this.deliverLease(other)
       if (asksFor !== undefined) this.ask(host, asksFor, version)
-      this.step(host, { kind: 'claimed', fence: version, tookMs: took })
+      this.step(host, { kind: 'claimed', fence: version, tookMs })
     })
   }
 
-  private tellLease (host: Host): void {
+  private deliverLease (host: Host): void {
     if (!host.isStoreReachable || this.lease === undefined || host.lease?.version === this.lease.version) return
     host.lease = Lease.of({ ...this.lease, seenAt: this.now as Instant })
   }
 
   private ask (holder: Host, endpoint: EndpointId, fence: number): void {
     for (const other of this.hosts) {
-      if (other === holder || !other.isStoreReachable || other.isFrozen) continue
+      if (other === holder || !other.isStoreReachable || other.isSuspended) continue
       this.after(100, () => {
-        if (!this.reaches(other, endpoint) || this.leader !== endpoint || !other.isStoreReachable || other.isFrozen) return
+        if (!this.reaches(other, endpoint) || this.leader !== endpoint || !other.isStoreReachable || other.isSuspended) return
         this.objections.add(fence)
         if (holder.isStoreReachable) this.step(holder, { kind: 'objected', fence })
       })
@@ -198,16 +198,16 @@
       this.leader = endpoint
       this.term++
       this.promotions++
-      this.after(50, () => this.spread())
+      this.after(50, () => this.deliverDirectory())
     })
     return 'done'
   }
 
   /** Delivers the directory's leader and the lease to hosts that reach the store. */
-  spread (): void {
+  deliverDirectory (): void {
     for (const host of this.hosts) {
       if (host.isStoreReachable) host.leader = this.leader
-      this.tellLease(host)
+      this.deliverLease(host)
     }
   }
 }
@@ -228,7 +228,7 @@
 }
 
 function injectFault (world: World, kind: string, host: Host): void {
-  if (kind === 'freeze') host.isFrozen = true
+  if (kind === 'freeze') host.isSuspended = true
   if (kind === 'store') host.isStoreReachable = false
   if (kind === 'cut') host.unreached.add(world.leader)
   // The last endpoint stays up, so that one can lead.
@@ -238,11 +238,11 @@
 }
 
 function clearFault (world: World, kind: string, host: Host): void {
-  if (kind === 'freeze') host.isFrozen = false
+  if (kind === 'freeze') host.isSuspended = false
   if (kind === 'cut') host.unreached.clear()
   if (kind !== 'store') return
   host.isStoreReachable = true
-  world.spread()
+  world.deliverDirectory()
 }
 
 function simulate (seed: number, mayLosePrimary: boolean): World {
--- a/src/core/pool/failover/groupfailover.ts
+++ b/src/core/pool/failover/groupfailover.ts
@@ -33,7 +33,9 @@
 
 interface Fields {
   readonly phase: Phase
+  /** The primary that the failover replaces; undefined when none was known. */
   readonly old: EndpointId | undefined
+  /** When the failover began. */
   readonly since: Instant
 }
 
@@ -172,10 +174,10 @@
     if (phase.kind === 'searching') return this.searchAgain(phase.left, now)
     const endpoint = longestLog(statuses, old, view)
     if (endpoint === undefined || !view.isLeaseHolder) return this.rest(now, [{ kind: 'giveUp' }])
-    const leaver = old === undefined ? undefined : statuses.get(old)
-    const isBehind = leaver?.received.isAfter(statuses.get(endpoint)!.received) === true
+    const oldStatus = old === undefined ? undefined : statuses.get(old)
+    const isBehind = oldStatus?.received.isAfter(statuses.get(endpoint)!.received) === true
     if (isBehind && now - since < view.catchUpMs) return this.to({ kind: 'waiting', until: later(now, CATCH_UP_INTERVAL_MS) }, [])
-    const handoverFrom = leaver?.isPrimary === true ? old : undefined
+    const handoverFrom = oldStatus?.isPrimary === true ? old : undefined
     return this.to({ kind: 'ordering', fence: phase.fence, endpoint }, [{ kind: 'promote', endpoint, fence: phase.fence, handoverFrom }])
   }
 
--- a/src/core/pool/failover/leadership.ts
+++ b/src/core/pool/failover/leadership.ts
@@ -49,7 +49,7 @@
   directoryChanged (before: Directory, after: Directory): Leadership {
     const { group, leader } = this.fields
     const members = after.group(group)
-    const restarted = new Set(members.filter(({ id, startedAtMs: bornAt }) => before.get(id)?.startedAtMs !== bornAt).map(({ id }) => id))
+    const restarted = new Set(members.filter(({ id, startedAtMs }) => before.get(id)?.startedAtMs !== startedAtMs).map(({ id }) => id))
     const newPrimaries = members.filter(({ id, isPrimary }) => isPrimary && (before.get(id)?.isPrimary !== true || restarted.has(id))).map(({ id }) => id)
     const replicas = new Set(members.filter(({ isPrimary }) => !isPrimary).map(({ id }) => id))
     const next = this.with({
@@ -61,16 +61,16 @@
     if (newest !== undefined && newPrimaries.includes(newest) && !next.fields.replaced.has(newest)) return next.withLeader(newest, 0)
     const hasStopped = leader !== undefined && replicas.has(leader) && before.get(leader)?.isPrimary === true
     const isStillPrimary = leader !== undefined && after.get(leader) !== undefined && !hasStopped
-    const listedPrimary = isStillPrimary ? undefined : next.bestListedPrimary
-    return listedPrimary === undefined ? next : next.withLeader(listedPrimary, 0)
+    const newLeader = isStillPrimary ? undefined : next.bestListedPrimary
+    return newLeader === undefined ? next : next.withLeader(newLeader, 0)
   }
 
   /** The endpoint refused a statement that only a primary runs. */
   refused (endpoint: EndpointId, now: Instant): Leadership {
     const next = this.with({ refusedAsReplica: new Set([...this.fields.refusedAsReplica, endpoint]) })
     if (endpoint !== this.fields.leader) return next
-    const { bestListedPrimary: listedPrimary } = next
-    return listedPrimary === undefined ? next.with({ leader: undefined, term: 0, leaderlessSince: now }) : next.withLeader(listedPrimary, 0)
+    const { bestListedPrimary } = next
+    return bestListedPrimary === undefined ? next.with({ leader: undefined, term: 0, leaderlessSince: now }) : next.withLeader(bestListedPrimary, 0)
   }
 
   /** The endpoint ran a statement that only a primary runs, or answered that it is primary, in the term. */
--- a/src/core/pool/membership/planregistrywrite.ts
+++ b/src/core/pool/membership/planregistrywrite.ts
@@ -24,10 +24,10 @@
   const others = followers.heard(now).filter(({ entry }) => entry.id !== self.id).map(({ entry, heardAt }) => ({ ...entry, isLeaving: entry.isLeaving && now - heardAt >= LEAVING_DELAY_MS }))
   const listed = roll.entries(now)
   const heard = [own, ...others].map(entry => keepListedIncarnation(entry, listed.get(entry.id)))
-  const named = heard.filter(entry => !roll.isListedByOther(entry, self.id, now)).sort((a, b) => a.id < b.id ? -1 : 1)
-  const value = registryRow.encode(named)
+  const unlisted = heard.filter(entry => !roll.isListedByOther(entry, self.id, now)).sort((a, b) => a.id < b.id ? -1 : 1)
+  const value = registryRow.encode(unlisted)
   const isDue = value !== row.value || now - row.at >= HostRegistry.renewalMs
-  if (named.length === 0 || !isDue) return undefined
+  if (unlisted.length === 0 || !isDue) return undefined
   return { kind: 'write', value, deletedKeys: roll.expiredWriters(now).filter(id => id !== self.id).map(registryRow.keyOf) }
 }
 
--- a/src/core/pool/membership/storequery.ts
+++ b/src/core/pool/membership/storequery.ts
@@ -3,7 +3,9 @@
 import type { Instant } from '../../id/instant.ts'
 
 interface Fields {
+  /** Whether a query is in progress. */
   readonly isPending: boolean
+  /** When the last query was sent. */
   readonly sentAt: Instant
   /** When the store last answered; undefined before the first answer. */
   readonly answeredAt: Instant | undefined
@@ -27,13 +29,13 @@
   readonly notBefore: Instant
   readonly isHistoryLost: boolean
 
-  private constructor ({ isPending: isOpen, sentAt: askedAt, answeredAt, failures, notBefore, isHistoryLost: isForgotten }: Fields) {
-    this.isPending = isOpen
-    this.sentAt = askedAt
+  private constructor ({ isPending, sentAt, answeredAt, failures, notBefore, isHistoryLost }: Fields) {
+    this.isPending = isPending
+    this.sentAt = sentAt
     this.answeredAt = answeredAt
     this.failures = failures
     this.notBefore = notBefore
-    this.isHistoryLost = isForgotten
+    this.isHistoryLost = isHistoryLost
   }
 
   static readonly none = new StoreQuery({ isPending: false, sentAt: -Infinity as Instant, answeredAt: undefined, failures: 0, notBefore: -Infinity as Instant, isHistoryLost: false })
--- a/src/core/pool/statements/patientretrypolicy.ts
+++ b/src/core/pool/statements/patientretrypolicy.ts
@@ -39,8 +39,8 @@
     return TRIES_PER_ENDPOINT * Math.max(1, endpoints)
   }
 
-  forLeader ({ remainingMs, serviceMs, statementTimeoutMs, leaderlessMs: missingMs, expectedMs, rank, timesWaited, waiting, connections }: Parameters<RetryPolicy['forLeader']>[0]): RetryDecision {
-    const newPrimaryMs = newPrimaryWaitMs(missingMs)
+  forLeader ({ remainingMs, serviceMs, statementTimeoutMs, leaderlessMs, expectedMs, rank, timesWaited, waiting, connections }: Parameters<RetryPolicy['forLeader']>[0]): RetryDecision {
+    const newPrimaryMs = newPrimaryWaitMs(leaderlessMs)
     const maxWaitMs = remainingMs - serviceMs
     if (expectedMs === undefined && newPrimaryMs > 0) return { kind: 'wait', ms: newPrimaryMs, areRefusalsReset: false }
     if (expectedMs === undefined) return { kind: 'refuse', cause: 'noLeader', retryAfterMs: DEFAULT_RETRY_AFTER_MS }
@@ -63,9 +63,9 @@
     return isUseless ? { kind: 'refuse', cause: 'unreachable', retryAfterMs: RECHECK_MS } : { kind: 'wait', ms: RECHECK_MS, areRefusalsReset: false }
   }
 
-  forBudget (lack: Parameters<RetryPolicy['forBudget']>[0]): RetryDecision {
-    const step = this.forRoom(lack)
-    return step.kind === 'refuse' ? { ...step, cause: 'budget' } : step
+  forBudget (context: Parameters<RetryPolicy['forBudget']>[0]): RetryDecision {
+    const decision = this.forRoom(context)
+    return decision.kind === 'refuse' ? { ...decision, cause: 'budget' } : decision
   }
 
   /** The first statement of a transaction has no effect without a commit, so unlike a single write it may be tried elsewhere before its outcome is known. */
