--- a/src/core/pool/failover/groupfailover.mix.test.ts
+++ b/src/core/pool/failover/groupfailover.mix.test.ts
@@ -1,4 +1,4 @@
-/** Successions of several hosts against one store and one group, in virtual time, under faults that a seed picks. */
+/** Runs the failover of several hosts against one store and one group, in virtual time, with random faults by seed. */
 
 import { describe, expect, it } from 'vitest'
 import type { EndpointId } from '../../id/endpoint.ts'
@@ -17,7 +17,7 @@
 const TICK_MS = 50
 const FAULTS_END_MS = 15_000
 const END_MS = 45_000
-/** Silence and a failed connection together. */
+/** Time from the loss of the primary until a host counts it as failing: silence and a failed connection. */
 const FAILURE_DETECTION_MS = 550
 const PROMOTION_MS = 1000
 const CALL_TIMEOUT_MS = 750
@@ -34,7 +34,7 @@
   lease: Lease | undefined
   leader: EndpointId | undefined
   unreachableSince: number | undefined
-  isFrozen = false
+  isSuspended = false
   isStoreReachable = true
   readonly unreached = new Set<EndpointId>()
   readonly refusedFences: number[] = []
@@ -43,7 +43,7 @@
   constructor (readonly id: HostId, readonly rank: number) {}
 }
 
-/** The store, the group and the platform as they are; hosts see them through delays and cuts. */
+/** The actual state of the store, the group and the platform; hosts see it with delays and network faults. */
 class World {
   now = 0
   readonly endpoints: Endpoint[] = ['a', 'b', 'c'].map(id => ({ id: id as EndpointId, isUp: true, isLeaving: false, position: 100 }))
@@ -54,7 +54,7 @@
   private version = 1
   private lease: { version: number, holder: HostId, asksFor: EndpointId | undefined } | undefined
   private highestFence = 0
-  private later: Array<{ at: number, run: () => void }> = []
+  private scheduled: Array<{ at: number, run: () => void }> = []
   private draws = 0
   private readonly objections = new Set<number>()
 
@@ -68,7 +68,7 @@
   }
 
   after (ms: number, run: () => void): void {
-    this.later.push({ at: this.now + ms, run })
+    this.scheduled.push({ at: this.now + ms, run })
   }
 
   endpoint (id: EndpointId): Endpoint {
@@ -77,8 +77,8 @@
 
   play (untilMs: number): void {
     for (; this.now < untilMs; this.now += TICK_MS) {
-      const due = this.later.filter(({ at }) => at <= this.now)
-      this.later = this.later.filter(({ at }) => at > this.now)
+      const due = this.scheduled.filter(({ at }) => at <= this.now)
+      this.scheduled = this.scheduled.filter(({ at }) => at > this.now)
       for (const { run } of due) run()
       for (const host of this.hosts) this.tick(host)
     }
@@ -89,16 +89,16 @@
   }
 
   private tick (host: Host): void {
-    if (host.isFrozen) return
+    if (host.isSuspended) return
     const isLost = host.leader !== undefined && !this.reaches(host, host.leader)
     host.unreachableSince = isLost ? host.unreachableSince ?? this.now : undefined
-    // A replaced primary refuses, so a host that reaches it doesn't believe in it for long.
+    // A replaced primary refuses writes, so a host that reaches it stops treating it as the leader.
     if (host.leader !== undefined && !isLost && host.leader !== this.leader) host.leader = undefined
     this.step(host, { kind: 'tick' })
   }
 
   step (host: Host, event: GroupFailoverEvent): void {
-    if (host.isFrozen) return this.after(TICK_MS, () => this.step(host, event))
+    if (host.isSuspended) return this.after(TICK_MS, () => this.step(host, event))
     const leaving = new Set(this.endpoints.filter(({ isLeaving }) => isLeaving).map(({ id }) => id))
     const { next, actions } = host.failover.step(event, {
       leader: host.leader,
@@ -140,27 +140,27 @@
   private claim (host: Host, asksFor: EndpointId | undefined): void {
     if (!host.isStoreReachable) return this.after(CALL_TIMEOUT_MS, () => this.step(host, { kind: 'claimLost' }))
     const expected = host.lease?.version ?? 0
-    const took = 10 + Math.floor(this.chance() * 60)
-    this.after(took, () => {
+    const tookMs = 10 + Math.floor(this.chance() * 60)
+    this.after(tookMs, () => {
       if ((this.lease?.version ?? 0) !== expected) return this.step(host, { kind: 'claimLost' })
       const version = ++this.version
       this.lease = { version, holder: host.id, asksFor }
-      for (const other of this.hosts) this.tellLease(other)
+      for (const other of this.hosts) this.deliverLease(other)
       if (asksFor !== undefined) this.ask(host, asksFor, version)
-      this.step(host, { kind: 'claimed', fence: version, tookMs: took })
+      this.step(host, { kind: 'claimed', fence: version, tookMs })
     })
   }
 
-  private tellLease (host: Host): void {
+  private deliverLease (host: Host): void {
     if (!host.isStoreReachable || this.lease === undefined || host.lease?.version === this.lease.version) return
     host.lease = Lease.of({ ...this.lease, seenAt: this.now as Instant })
   }
 
   private ask (holder: Host, endpoint: EndpointId, fence: number): void {
     for (const other of this.hosts) {
-      if (other === holder || !other.isStoreReachable || other.isFrozen) continue
+      if (other === holder || !other.isStoreReachable || other.isSuspended) continue
       this.after(100, () => {
-        if (!this.reaches(other, endpoint) || this.leader !== endpoint || !other.isStoreReachable || other.isFrozen) return
+        if (!this.reaches(other, endpoint) || this.leader !== endpoint || !other.isStoreReachable || other.isSuspended) return
         this.objections.add(fence)
         if (holder.isStoreReachable) this.step(holder, { kind: 'objected', fence })
       })
@@ -198,21 +198,21 @@
       this.leader = endpoint
       this.term++
       this.promotions++
-      this.after(50, () => this.spread())
+      this.after(50, () => this.deliverDirectory())
     })
     return 'done'
   }
 
-  /** The directory's word on who leads, to hosts that hear the store. */
-  spread (): void {
+  /** Delivers the directory's leader and the lease to hosts that reach the store. */
+  deliverDirectory (): void {
     for (const host of this.hosts) {
       if (host.isStoreReachable) host.leader = this.leader
-      this.tellLease(host)
+      this.deliverLease(host)
     }
   }
 }
 
-/** Cuts, freezes and a dead or leaving primary, over by the end of the faults, but for the primary's death. */
+/** Schedules network faults, suspensions, and crashes or departures of the primary. All but crashes and departures end before the faults' end. */
 function scheduleFaults (world: World, mayLosePrimary: boolean): void {
   const pick = <T>(list: readonly T[]): T => list[Math.floor(world.chance() * list.length)]!
   const faults = 1 + Math.floor(world.chance() * 4)
@@ -220,7 +220,7 @@
     const at = world.chance() * FAULTS_END_MS / 2
     const forMs = world.chance() * FAULTS_END_MS / 2
     const kind = pick(['freeze', 'store', 'cut', 'cut', mayLosePrimary ? 'crash' : 'cut', mayLosePrimary ? 'leave' : 'cut'])
-    // One host stays whole, so that somebody reaches the primary and the store.
+    // The first host has no faults, so one host always reaches the primary and the store.
     const host = pick(world.hosts.slice(1))
     world.after(at, () => injectFault(world, kind, host))
     world.after(at + forMs, () => clearFault(world, kind, host))
@@ -228,21 +228,21 @@
 }
 
 function injectFault (world: World, kind: string, host: Host): void {
-  if (kind === 'freeze') host.isFrozen = true
+  if (kind === 'freeze') host.isSuspended = true
   if (kind === 'store') host.isStoreReachable = false
   if (kind === 'cut') host.unreached.add(world.leader)
-  // With the last endpoint nobody is left to lead.
+  // The last endpoint stays up, so that one can lead.
   const isLast = world.endpoints.filter(({ isUp }) => isUp).length < 2
   if (kind === 'crash' && !isLast) world.endpoint(world.leader).isUp = false
   if (kind === 'leave') world.endpoint(world.leader).isLeaving = true
 }
 
 function clearFault (world: World, kind: string, host: Host): void {
-  if (kind === 'freeze') host.isFrozen = false
+  if (kind === 'freeze') host.isSuspended = false
   if (kind === 'cut') host.unreached.clear()
   if (kind !== 'store') return
   host.isStoreReachable = true
-  world.spread()
+  world.deliverDirectory()
 }
 
 function simulate (seed: number, mayLosePrimary: boolean): World {
@@ -254,14 +254,13 @@
 
 const seeds = Array.from({ length: SEEDS }, (_, i) => i + 1)
 
-describe('successions of several hosts', () => {
-  it('replace nothing while somebody reaches the primary', () => {
-    // Callers lose a second of writes, and commits that no replica has, although the primary is well.
-    // Hosts are frozen, cut from the primary or from the store, and one reaches both all the while.
+describe('failovers of several hosts', () => {
+  it('promote nothing while one host reaches the primary', () => {
+    // Other hosts are suspended, or cut off from the primary or the store.
     expect(seeds.filter(seed => simulate(seed, false).promotions > 0)).toEqual([])
   })
 
-  it('end with a primary that lives and that every host believes in', () => {
+  it('end with a running primary that every host knows', () => {
     const wrong = seeds.filter(seed => {
       const world = simulate(seed, true)
       return !world.endpoint(world.leader).isUp || world.hosts.some(({ leader }) => leader !== world.leader)
@@ -269,7 +268,7 @@
     expect(wrong).toEqual([])
   })
 
-  it('never order twice under one fence, nor again under one that was refused', () => {
+  it('never order twice under one fence', () => {
     const wrong = seeds.filter(seed => {
       const fences = simulate(seed, true).hosts.flatMap(({ orders }) => orders)
       return new Set(fences).size !== fences.length
