--- a/src/core/admission/action.ts
+++ b/src/core/admission/action.ts
@@ -1,9 +1,9 @@
-/** What admission orders its slot to do. */
+/** Actions that the admission of a slot asks its owner to carry out. */
 
 export type AdmissionAction =
-  /** Open one connection; `opened` or `openFailed` must follow. */
+  /** Open one connection and report `opened`, `openFailed` or `openRefused`. */
   | { readonly kind: 'open' }
-  /** Lend any idle connection to the request; there is one. */
+  /** Give the request any idle connection; there is one. */
   | { readonly kind: 'start', readonly id: number }
-  /** The request's final answer: it was not run. */
+  /** Refuse the request, which was not run. `retryAfterMs`: when its caller should try again. */
   | { readonly kind: 'refuse', readonly id: number, readonly reason: 'busy' | 'unreachable', readonly retryAfterMs: number }
--- a/src/core/admission/admission.test.ts
+++ b/src/core/admission/admission.test.ts
@@ -1,4 +1,4 @@
-/** Who is admitted to a slot, in which order, and who is refused with which time to come back. */
+/** Guards against unfair, late or overcommitted admission to a slot. */
 
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
@@ -11,8 +11,8 @@
 
 const [URGENT, NORMAL, BROWSING] = [0, 1, 2]
 
-/** Drives an admission on a virtual clock and keeps what it ordered. */
-class Drive {
+/** Drives an admission on a virtual clock and records its actions. */
+class SlotDriver {
   now = 0
   started: number[] = []
   refused: Array<Extract<AdmissionAction, { kind: 'refuse' }>> = []
@@ -22,8 +22,8 @@
   constructor (readonly limits: Limits, readonly admission = Admission.create(limits), private readonly chance = () => 0) {}
 
   /** A slot with all its connections open and idle. */
-  static warm (connections = 14, limits = Limits.of(connections)): Drive {
-    const it = new Drive(limits.with({ opening: { ...limits.opening, most: connections, intervalMs: 0 } }))
+  static warm (connections = 14, limits = Limits.of(connections)): SlotDriver {
+    const it = new SlotDriver(limits.with({ opening: { ...limits.opening, most: connections, intervalMs: 0 } }))
     const ids = Array.from({ length: connections }, () => it.arrive({ rank: URGENT }))
     while (it.opens > 0) it.open()
     for (const id of ids) it.finish(id)
@@ -38,7 +38,7 @@
     return id
   }
 
-  many (count: number, wish: Parameters<Drive['arrive']>[0]): number[] {
+  many (count: number, wish: Parameters<SlotDriver['arrive']>[0]): number[] {
     return Array.from({ length: count }, () => this.arrive(wish))
   }
 
@@ -69,7 +69,7 @@
     }
   }
 
-  /** What starts when the connections in use are given back one by one. */
+  /** Returns what starts while the connections in use are returned one by one. */
   drain (running: number[], count: number): number[] {
     const before = this.started.length
     for (const id of running.slice(0, count)) {
@@ -81,15 +81,15 @@
 }
 
 describe('classes', () => {
-  it('starts the most urgent first, whatever came first', () => {
-    const slot = Drive.warm()
+  it('starts the most urgent first, in any order of arrival', () => {
+    const slot = SlotDriver.warm()
     const running = slot.many(14, { rank: URGENT })
     const [browsing, normal, urgent] = [BROWSING, NORMAL, URGENT].map(rank => slot.arrive({ rank }))
     expect(slot.drain(running, 9)).toEqual([urgent, normal, browsing])
   })
 
-  it.each([[14, 10], [28, 20], [2, 2], [1, 1]])('of %i connections browsing takes %i and the rest stay free for others', (connections, most) => {
-    const slot = Drive.warm(connections)
+  it.each([[14, 10], [28, 20], [2, 2], [1, 1]])('of %i connections browsing uses at most %i and leaves the rest to others', (connections, most) => {
+    const slot = SlotDriver.warm(connections)
     slot.started = []
     const ids = slot.many(connections, { rank: BROWSING })
     expect(slot.started).toEqual(ids.slice(0, most))
@@ -97,8 +97,8 @@
     expect(slot.started.includes(urgent)).toBe(most < connections)
   })
 
-  it('gives one start in seventeen to a lower class that waits', () => {
-    const slot = Drive.warm()
+  it('gives one start in seventeen to a waiting lower class', () => {
+    const slot = SlotDriver.warm()
     const running = slot.many(14, { rank: URGENT })
     const browsing = slot.arrive({ rank: BROWSING })
     const urgent = slot.many(40, { rank: URGENT })
@@ -107,14 +107,10 @@
   })
 })
 
-/*
- * A citizens' site opens transactions and leaves them open while people read.
- * Each holds its connection. Without a bound they hold all of them, and a
- * driver's confirmation waits for a citizen. Cause: pins last as long as a caller likes.
- */
+/* Callers that leave transactions open would otherwise pin all connections of a slot. */
 describe('pinned transactions', () => {
   it.each([[BROWSING, 3], [NORMAL, 8], [URGENT, 12]])('class %i pins at most %i of 14 connections', (rank, most) => {
-    const slot = Drive.warm()
+    const slot = SlotDriver.warm()
     slot.started = []
     slot.many(20, { rank, isTransaction: true })
     expect(slot.started).toHaveLength(most)
@@ -123,22 +119,18 @@
   })
 })
 
-/*
- * One haulier's script sends a hundred requests at once; another haulier's
- * single request comes after them. First in, first out makes it wait for all
- * hundred. Cause: the queue doesn't look at who asks.
- */
+/* A burst of one caller must not delay a single request of another. */
 describe('fair sharing', () => {
-  it('lets a second caller wait for one turn, not for the first one\'s burst', () => {
-    const slot = Drive.warm()
+  it('serves a second caller in its turn, before the rest of the first one\'s burst', () => {
+    const slot = SlotDriver.warm()
     const running = slot.many(14, { rank: URGENT, caller: 'greedy' })
     slot.many(100, { rank: URGENT, caller: 'greedy' })
     const modest = slot.arrive({ rank: URGENT, caller: 'modest' })
     expect(slot.drain(running, 4)).toContain(modest)
   })
 
-  it('charges connection time, so long statements earn fewer turns', () => {
-    const slot = Drive.warm(1)
+  it('charges connection time, so that long statements get fewer turns', () => {
+    const slot = SlotDriver.warm(1)
     const first = slot.arrive({ caller: 'long' })
     const long = slot.many(3, { caller: 'long' })
     const short = slot.many(3, { caller: 'short' })
@@ -147,8 +139,8 @@
     expect(order.slice(0, 3)).toEqual(short)
   })
 
-  it('gives up the greedy caller\'s newest when the queue is full', () => {
-    const slot = Drive.warm(14, Limits.of(14).with({ maxQueued: 20 }))
+  it('evicts the greedy caller\'s newest request when the queue is full', () => {
+    const slot = SlotDriver.warm(14, Limits.of(14).with({ maxQueued: 20 }))
     slot.many(12, { caller: 'greedy' })
     const greedy = slot.many(20, { caller: 'greedy' })
     slot.arrive({ caller: 'modest' })
@@ -158,8 +150,8 @@
 })
 
 describe('deadlines', () => {
-  it('refuses on arrival what the queue can\'t serve in time, and says when to come back', () => {
-    const slot = Drive.warm()
+  it('refuses on arrival what can\'t be served in time, with a retry-after time', () => {
+    const slot = SlotDriver.warm()
     slot.many(14, {})
     slot.many(1000, { ms: 60_000 })
     const late = slot.arrive({ ms: 100 })
@@ -167,8 +159,8 @@
     expect(slot.refused[0]!.retryAfterMs).toBeGreaterThan(100)
   })
 
-  it('spreads those it refuses over time', () => {
-    const slot = Drive.warm()
+  it('spreads retry-after times', () => {
+    const slot = SlotDriver.warm()
     slot.many(14, {})
     slot.many(1000, { ms: 60_000 })
     slot.many(500, { ms: 100 })
@@ -176,8 +168,8 @@
     expect(new Set(times).size).toBeGreaterThan(400)
   })
 
-  it('gives up at once what became hopeless, long before its deadline', () => {
-    const slot = Drive.warm()
+  it('refuses a request as soon as it can\'t meet its deadline', () => {
+    const slot = SlotDriver.warm()
     slot.many(14, {})
     const ids = slot.many(50, { ms: 1000 })
     slot.now += 600
@@ -187,39 +179,30 @@
   })
 })
 
-/*
- * The line is quiet for a minute, then thirty-two look-ups come at once, each with
- * a minute of time. More than half of them are refused although the endpoint is idle.
- * Cause: the minute of quiet was taken for a minute in which nothing could start.
- */
+/* Time without requests must not count as a stall, which would refuse a burst at an idle endpoint. */
 it.each([
-  ['a slot that is warm', () => Drive.warm()],
-  ['a slot without connections', () => new Drive(Limits.of(14))]
-])('quiet isn\'t a stall: %s takes a sudden burst', (_, create) => {
+  ['a slot that is warm', () => SlotDriver.warm()],
+  ['a slot without connections', () => new SlotDriver(Limits.of(14))]
+])('idle time isn\'t a stall: %s accepts a sudden burst', (_, create) => {
   const slot = create()
   slot.now += 60_000
   slot.many(32, { ms: 5000 })
   expect(slot.refused).toEqual([])
 })
 
-/*
- * A server is down for a minute. Every slot owner tries to connect all the
- * time, and callers wait for connections that never come. When it's back, all
- * of them meet it at once. Cause: openings without pace, and no answer to those that wait.
- */
+/* After an outage the endpoint must not be met by all openings at once, and requests must not wait for connections that never come. */
 describe('openings', () => {
-  it('has at most four under way, five milliseconds apart', () => {
-    const slot = new Drive(Limits.of(14))
+  it('has at most four in progress, five milliseconds apart', () => {
+    const slot = new SlotDriver(Limits.of(14))
     slot.many(14, {})
     expect(slot.opens).toBe(1)
     for (let i = 0; i < 10; i++, slot.now += 5) slot.step({ kind: 'tick' })
     expect(slot.opens).toBe(4)
   })
 
-  it('waits while the endpoint takes no more connections, and tries again soon', () => {
-    // Callers are refused for a second after all hosts came back, though connections become free every few milliseconds.
-    // The endpoint turns an opening away since others hold its connections; that counted as a failure, each longer than the last.
-    const slot = new Drive(Limits.of(2))
+  it('waits while the endpoint accepts no more connections, and retries soon', () => {
+    // An endpoint at its connection limit isn't a failure: its connections become free within milliseconds.
+    const slot = new SlotDriver(Limits.of(2))
     const id = slot.arrive({ ms: 800 })
     for (let i = 0; i < 5; i++) {
       slot.refuseOpening()
@@ -231,10 +214,9 @@
     expect(slot.started).toEqual([id])
   })
 
-  it('opens the connection for a request that was started without one, and backs off when that fails', () => {
-    // A team's statements are sent to a database that is down, one after the other, each of them waiting for the whole time of an opening.
-    // Room for a connection counted as an open one, so nothing was refused early.
-    const slot = new Drive(Limits.of(2))
+  it('starts a request on a vacant place, and backs off when its connection can\'t be opened', () => {
+    // If a vacant place counted as an open connection, each request to a dead endpoint would wait for a connection attempt.
+    const slot = new SlotDriver(Limits.of(2))
     const id = slot.arrive()
     slot.step({ kind: 'opened', isVacant: true })
     expect(slot.started).toEqual([id])
@@ -244,8 +226,8 @@
     expect(slot.refused).toMatchObject([{ reason: 'unreachable', retryAfterMs: 25 }])
   })
 
-  it('leaves what waits waiting when the connection for a started request is turned away', () => {
-    const slot = new Drive(Limits.of(2))
+  it('keeps requests waiting when the connection for a started request is rejected', () => {
+    const slot = new SlotDriver(Limits.of(2))
     const id = slot.arrive({ ms: 800 })
     slot.step({ kind: 'opened', isVacant: true })
     slot.finish(id, false)
@@ -257,16 +239,16 @@
     expect([slot.refused, slot.started]).toEqual([[], [id, again]])
   })
 
-  it('starts another on the connection that a started request left alone', () => {
-    const slot = Drive.warm(1, Limits.of(2))
+  it('starts another request on the connection that a started request didn\'t need', () => {
+    const slot = SlotDriver.warm(1, Limits.of(2))
     slot.arrive()
     const second = slot.arrive()
     slot.step({ kind: 'added' })
     expect(slot.started.at(-1)).toBe(second)
   })
 
-  it('refuses at once while no connection can be had, backs off, and tries again', () => {
-    const slot = new Drive(Limits.of(14))
+  it('refuses at once while no connection can be opened, backs off, and retries', () => {
+    const slot = new SlotDriver(Limits.of(14))
     slot.arrive()
     const waits: number[] = []
     for (let i = 0; i < 7; i++) {
@@ -292,10 +274,10 @@
   wait: fc.nat(30)
 }), { maxLength: 300 })
 
-it('in any order of events: one answer each, no connection lent twice, nothing over its bound', () => {
+it('in any order of events: one answer each, no connection used twice, no limit exceeded', () => {
   fc.assert(fc.property(steps, all => {
     const limits = Limits.of(6).with({ maxQueued: 12 })
-    const slot = new Drive(limits)
+    const slot = new SlotDriver(limits)
     const cancelled = new Set<number>()
     const running = new Set<number>()
     const arrived: number[] = []
@@ -331,10 +313,10 @@
   }), { seed: 7, numRuns: 300 })
 })
 
-// In an overload everybody waits for as long as the queue is: longer than their aim, so what is carried serves nobody well.
-describe('aims', () => {
-  it('who can still make it goes before who can\'t, whoever came first', () => {
-    const slot = Drive.warm(1)
+// In an overload every request would otherwise miss its soft deadline.
+describe('soft deadlines', () => {
+  it('requests before their soft deadline go first, in any order of arrival', () => {
+    const slot = SlotDriver.warm(1)
     const [running] = slot.many(1, {})
     const late = slot.arrive({ ms: 1000, aimMs: 10 })
     slot.now += 20
@@ -342,8 +324,8 @@
     expect(slot.drain([running!, fresh], 2)).toEqual([fresh, late])
   })
 
-  it('who missed it, while others can make theirs, waits for half of its time and no longer', () => {
-    const slot = Drive.warm(1)
+  it('a request past its soft deadline waits for at most half of its time while others are before theirs', () => {
+    const slot = SlotDriver.warm(1)
     slot.arrive({})
     const late = slot.arrive({ ms: 1000, aimMs: 10 })
     slot.now += 501
--- a/src/core/admission/admission.ts
+++ b/src/core/admission/admission.ts
@@ -1,11 +1,8 @@
 /**
- * Admission to one slot: which request gets a connection next, which is
- * refused, and when connections are opened.
+ * Admission control of one slot: which request gets a connection next, which is refused, and when connections are opened.
  *
- * A request gets a connection, or a final answer as soon as it's known that it
- * can't have one in time; nothing is held back until its deadline. Classes go
- * in their order with reserved connections, callers of a class share fairly,
- * and the queue is bounded.
+ * A request gets a connection, or is refused as soon as it's known that it can't get one in time. Classes have priorities and
+ * reserved connections, callers of a class share fairly, and the queue is bounded.
  */
 
 import type { Instant } from '../id/instant.ts'
@@ -21,20 +18,20 @@
 interface Running {
   readonly request: AdmissionRequest
   readonly since: Instant
-  /** What its caller was charged at the start, until the true time is known. */
+  /** Connection time charged to its caller at the start; corrected once the actual time is known. */
   readonly charged: number
 }
 
-/** A new request is taken in if so many times its own service time fits in after the wait, */
+/** A new request is accepted if this many of its service times fit between the estimated wait and its deadline. */
 const MIN_SERVICE_TIMES = 2
-/** and if it waits no longer than this share of its time: a longer queue carries nothing more and leaves no room for a slow statement. */
+/** A new request is accepted if its wait takes at most this share of its time: a longer queue doesn't raise throughput. */
 const MAX_WAIT_SHARE = 0.5
-/** A request that waits is given up only when even this share of the estimated wait is too long: estimates swing. */
+/** A waiting request is refused when even this share of its estimated wait is too long; estimates fluctuate. */
 const SHED_WAIT_SHARE = 0.5
 
 /**
- * The state of one slot. Unlike most of the core it changes in place: it's
- * stepped three times a request, and its queues would be copied each time.
+ * The admission state of one slot. Mutable, unlike most of the core: each request steps it three times, and its queues would be
+ * copied each time.
  */
 export class Admission {
   private readonly shares: ConnectionShares
@@ -42,10 +39,10 @@
   private readonly pacer: ConnectionPacer
   private readonly running = new Map<number, Running>()
   private readonly waiting = new Map<number, AdmissionRequest>()
-  /** Until when those that wait may stand behind others once they have missed their aim. */
+  /** By request: until when it may wait behind others once it's past its soft deadline. */
   private readonly waitLimits = new Map<number, Instant>()
   private idle = 0
-  /** Since when requests wait and none has started. */
+  /** Since when requests have been waiting without a start. */
   private stalledSince = 0 as Instant
   private actions: AdmissionAction[] = []
 
@@ -63,12 +60,12 @@
     return this.waiting.size
   }
 
-  /** Those that wait, by rank. */
+  /** Number of waiting requests by rank. */
   get queuedByClass (): readonly number[] {
     return classes.map((_, rank) => this.backlog.sizeOf(rank))
   }
 
-  /** Connections that are open; those being opened aren't among them. */
+  /** Open connections, without those being opened. */
   get openConnections (): number {
     return this.idle + this.running.size
   }
@@ -77,14 +74,14 @@
     return { idle: this.idle, running: this.running.size, pending: this.pacer.pending }
   }
 
-  /** Takes other limits from now on; what runs beyond them isn't taken back. */
+  /** Applies new limits; requests that run beyond them go on. */
   resize (limits: Limits): void {
     this.limits = limits
     this.shares.limits = limits
     this.backlog.limits = limits
   }
 
-  /** `chance` is a number in [0, 1) from the process's one seeded generator. */
+  /** Handles an event and returns the resulting actions. `chance` is a random number in [0, 1). */
   step (event: AdmissionEvent, now: Instant, chance: number): readonly AdmissionAction[] {
     this.actions = []
     this.shares.openOrOpening = Math.max(1, this.openConnections + this.pacer.pending)
@@ -129,9 +126,9 @@
     if (this.openConnections === 0 && this.pacer.isBackingOff(now)) return this.refuse(request, 'unreachable', now, chance)
     if (this.isTooLate(request, now)) return this.refuse(request, 'busy', now, chance)
     if (this.waiting.size >= this.limits.maxQueued) {
-      const victim = this.backlog.evictionCandidate(request)
-      this.refuse(victim, 'busy', now, chance)
-      if (victim === request) return
+      const evicted = this.backlog.evictionCandidate(request)
+      this.refuse(evicted, 'busy', now, chance)
+      if (evicted === request) return
     }
     if (this.waiting.size === 0) this.stalledSince = now
     this.waiting.set(request.id, request)
@@ -140,57 +137,56 @@
   }
 
   /**
-   * Whether it's known on arrival that the request can't be done by its
-   * deadline. What can start at once, or on a connection opened for it, is let through whatever the estimate says: its
-   * sample is what corrects an estimate that is too high.
+   * Whether the request can't be done by its deadline. A request that can start at once, or on a connection opened for it, is
+   * accepted whatever the estimate: its sample corrects an estimate that is too high.
    */
   private isTooLate (request: AdmissionRequest, now: Instant): boolean {
     const left = request.deadline - now
     if (left <= 0) return true
     const hasRoom = this.running.size + this.waiting.size < this.limits.connections
     if (hasRoom && this.shares.canStart(request.rank, request.isTransaction)) return false
-    const line = this.backlog.queueFor(request)
-    const wait = this.backlog.estimateWaitMs(request, line.requests.countAhead(request.caller, now), this.stalledMs(now), now)
-    return wait > left * MAX_WAIT_SHARE || wait + MIN_SERVICE_TIMES * line.service.at(now) > left
+    const classQueue = this.backlog.queueFor(request)
+    const waitMs = this.backlog.estimateWaitMs(request, classQueue.requests.countAhead(request.caller, now), this.stalledMs(now), now)
+    return waitMs > left * MAX_WAIT_SHARE || waitMs + MIN_SERVICE_TIMES * classQueue.service.at(now) > left
   }
 
   private handleFinish (id: number, isUsable: boolean, now: Instant): void {
-    const ended = this.running.get(id)
-    if (ended === undefined) return
-    const { request, since, charged } = ended
+    const entry = this.running.get(id)
+    if (entry === undefined) return
+    const { request, since, charged } = entry
     this.running.delete(id)
     this.shares.give(request)
-    const line = this.backlog.queueFor(request)
-    if (isUsable) line.service.add(now - since, now)
-    else line.service.addCutOff(now - since, now)
-    line.requests.charge(request.caller, now - since - charged)
+    const classQueue = this.backlog.queueFor(request)
+    if (isUsable) classQueue.service.add(now - since, now)
+    else classQueue.service.addCutOff(now - since, now)
+    classQueue.requests.charge(request.caller, now - since - charged)
     if (isUsable) this.idle++
   }
 
   /**
-   * With no connection left nothing that waits can run here, and its caller can be
-   * served elsewhere; while one is open the failure only makes the slot smaller.
+   * Refuses all waiting requests if no connection is left, so that their callers can be served elsewhere. While one is open, a failure
+   * only makes the slot smaller.
    */
   private refuseAllIfUnreachable (now: Instant, chance: number): void {
     if (this.openConnections > 0 || this.pacer.pending > 0) return
     for (const request of [...this.waiting.values()]) this.refuse(request, 'unreachable', now, chance)
   }
 
-  /** Gives up what can't make its deadline any more. */
+  /** Refuses the waiting requests that can't meet their deadlines any more. */
   private refuseLate (now: Instant, chance: number): void {
     if (this.waiting.size === 0) return this.backlog.removeIdleCallers()
     const stalledMs = this.stalledMs(now)
     const late = [...this.backlog.inServingOrder(now)].filter(([request, ahead]) => {
       if (this.isPastWaitLimit(request, ahead, now)) return true
-      const wait = this.backlog.estimateWaitMs(request, ahead, stalledMs, now)
-      return wait * SHED_WAIT_SHARE + this.backlog.queueFor(request).service.at(now) > request.deadline - now
+      const waitMs = this.backlog.estimateWaitMs(request, ahead, stalledMs, now)
+      return waitMs * SHED_WAIT_SHARE + this.backlog.queueFor(request).service.at(now) > request.deadline - now
     })
     for (const [request] of late) this.refuse(request, 'busy', now, chance)
   }
 
   /**
-   * Guard against callers who wait for all of their time and get nothing: while more come than is carried, those that can still make their aim
-   * go first, and one that has missed it hardly has a turn. It waits for as long as one may be let in to wait, and is refused then.
+   * Whether the request is past its soft deadline and past its wait limit. In an overload requests before their soft deadlines go first, so
+   * a late one hardly gets a turn; it's refused at its wait limit instead of waiting until its deadline.
    */
   private isPastWaitLimit ({ id, aim }: AdmissionRequest, ahead: number, now: Instant): boolean {
     return aim !== undefined && now > aim && ahead > 0 && now > this.waitLimits.get(id)!
@@ -207,9 +203,9 @@
   }
 
   private start (request: AdmissionRequest, now: Instant): void {
-    const line = this.backlog.queueFor(request)
-    const charged = line.service.at(now)
-    line.requests.charge(request.caller, charged)
+    const classQueue = this.backlog.queueFor(request)
+    const charged = classQueue.service.at(now)
+    classQueue.requests.charge(request.caller, charged)
     this.running.set(request.id, { request, since: now, charged })
     this.shares.take(request)
     this.idle--
@@ -249,7 +245,7 @@
     this.waitLimits.delete(id)
   }
 
-  /** For how long nothing has started although requests wait: a sign that the measured service time no longer holds. */
+  /** For how long nothing has started although requests wait: a sign that the estimated service time is too low. */
   private stalledMs (now: Instant): number {
     return this.waiting.size === 0 ? 0 : now - this.stalledSince
   }
--- a/src/core/admission/backlog.ts
+++ b/src/core/admission/backlog.ts
@@ -1,4 +1,4 @@
-/** What waits at a slot, and how long it takes to drain. */
+/** The waiting requests of a slot, and how long it takes to serve them. */
 
 import type { Instant } from '../id/instant.ts'
 import { classes } from './classes.ts'
@@ -8,24 +8,27 @@
 import { ServiceTime } from './servicetime.ts'
 import type { ConnectionShares } from './connectionshares.ts'
 
-/** Statements of one class, or its transactions. A transaction that may not start yet must not hold up statements behind it. */
+/**
+ * The waiting statements of one class, or its waiting transactions. They are kept apart so that a transaction that may not start
+ * yet doesn't hold up the statements behind it.
+ */
 interface ClassQueue {
   readonly requests: FairQueue
   readonly service: ServiceTime
-  /** Requests that were told to come back and haven't had their turn yet, as far as it's known. */
+  /** Estimated number of refused requests whose callers have yet to come back. */
   expectedRetries: number
   expectedRetriesAt: Instant
 }
 
-/** One start in so many goes to a lower class that waits, so that no class starves. */
+/** How often a waiting class may be passed over before it gets a start, so that no class starves. */
 const MAX_PASSED_OVER = 16
-/** So many times the mean gap between two starts of requests counts as a stall. */
+/** A pause of this many mean intervals between two starts counts as a stall. */
 const STALL_FACTOR = 8
 
-/** The queues of all classes. Changes in place, like the queues that it holds. */
+/** The queues of all classes. Mutable, like the queues in it. */
 export class Backlog {
   private readonly queues = classes.map(() => [createClassQueue(), createClassQueue()] as const)
-  /** Starts of others since the class had one while it waited. */
+  /** Starts of higher classes since the class last had one while it waited. */
   private readonly passedOver = classes.map(() => 0)
 
   private constructor (public limits: Limits, private readonly shares: ConnectionShares) {}
@@ -47,7 +50,7 @@
     return this.queues[rank]![isTransaction ? 1 : 0]
   }
 
-  /** Takes out the request whose turn it is among those that may start now. */
+  /** Removes and returns the next request that may start now. */
   shift (now: Instant): AdmissionRequest | undefined {
     const next = this.nextStarved(now) ?? this.nextByPriority(now)
     if (next === undefined) return undefined
@@ -59,36 +62,38 @@
     return this.queueFor(next).requests.shift(now)
   }
 
-  /** The time until a request that has so many of its line ahead gets a connection. `stalledMs`: for how long none has started although some wait. */
+  /**
+   * Estimated milliseconds until a request with `ahead` requests of its class before it gets a connection. `stalledMs`: for how long none
+   * has started although some wait.
+   */
   estimateWaitMs (request: Pick<AdmissionRequest, 'rank' | 'isTransaction'>, ahead: number, stalledMs: number, now: Instant): number {
     const { rank, isTransaction } = request
-    const own = this.queueFor(request).service.at(now)
+    const serviceMs = this.queueFor(request).service.at(now)
     const least = this.limits.connections / MAX_PASSED_OVER
     const left = this.shares.availableTo(rank, isTransaction, Math.min(1, least))
-    let work = ahead * own
+    let workMs = ahead * serviceMs
     for (let higher = 0; higher < rank; higher++) {
-      for (const { requests: queue, service } of this.queues[higher]!) work += queue.size * service.at(now)
+      for (const { requests, service } of this.queues[higher]!) workMs += requests.size * service.at(now)
     }
-    return Math.max(work / left, (ahead + 1) * stalledMs / STALL_FACTOR)
+    return Math.max(workMs / left, (ahead + 1) * stalledMs / STALL_FACTOR)
   }
 
   /**
-   * When a refused request should come back: once what waits now has drained,
-   * and those told to come back before it have had their turn. Told the same
-   * time they would all be back at once, and all but a few refused again.
+   * When a refused request should be retried: when the present queue has drained and the callers refused earlier have come back.
+   * The times are spread, since callers that all came back at once would mostly be refused again.
    */
   retryAfterMs (request: Pick<AdmissionRequest, 'rank' | 'isTransaction'>, now: Instant, chance: number): number {
-    const line = this.queueFor(request)
-    const own = line.service.at(now)
+    const classQueue = this.queueFor(request)
+    const serviceMs = classQueue.service.at(now)
     const left = this.shares.availableTo(request.rank, request.isTransaction, Math.min(1, this.limits.connections / MAX_PASSED_OVER))
-    const perMs = this.limits.retryShare * left / own
-    line.expectedRetries = Math.max(0, line.expectedRetries - (now - line.expectedRetriesAt) * perMs) + 1
-    line.expectedRetriesAt = now
-    const ms = this.estimateWaitMs(request, line.requests.size, 0, now) + line.expectedRetries / perMs
-    return Math.ceil(Math.min(this.limits.maxRetryAfterMs, Math.max(own, ms)) * (1 + this.limits.jitter * chance))
+    const retriesPerMs = this.limits.retryShare * left / serviceMs
+    classQueue.expectedRetries = Math.max(0, classQueue.expectedRetries - (now - classQueue.expectedRetriesAt) * retriesPerMs) + 1
+    classQueue.expectedRetriesAt = now
+    const ms = this.estimateWaitMs(request, classQueue.requests.size, 0, now) + classQueue.expectedRetries / retriesPerMs
+    return Math.ceil(Math.min(this.limits.maxRetryAfterMs, Math.max(serviceMs, ms)) * (1 + this.limits.jitter * chance))
   }
 
-  /** The request to give up so that another fits in: the lowest class first, of the caller with the most waiting. */
+  /** The request to evict when the queue is full: of the lowest class, from the caller with the most waiting requests. */
   evictionCandidate (request: AdmissionRequest): AdmissionRequest {
     for (let rank = classes.length - 1; rank > request.rank; rank--) {
       const other = this.evictableInClass(rank)
@@ -101,15 +106,15 @@
 
   * inServingOrder (now: Instant): Generator<readonly [AdmissionRequest, number]> {
     for (const pair of this.queues) {
-      for (const { requests: queue } of pair) {
-        if (queue.size > 0) yield * queue.inServingOrder(now)
+      for (const { requests } of pair) {
+        if (requests.size > 0) yield * requests.inServingOrder(now)
       }
     }
   }
 
   removeIdleCallers (): void {
     for (const pair of this.queues) {
-      for (const { requests: queue } of pair) queue.removeIdleCallers()
+      for (const { requests } of pair) requests.removeIdleCallers()
     }
   }
 
@@ -127,9 +132,8 @@
   }
 
   /**
-   * The statement of a class that was passed over long enough. It goes before
-   * the reserves of others, so such a class has one connection this way and no
-   * more: long statements would else gather on all of them, turn by turn.
+   * The next request of a class that was passed over `MAX_PASSED_OVER` times. It may use connections reserved for others, but only one
+   * per class: otherwise long statements would in time occupy all of them.
    */
   private nextStarved (now: Instant): AdmissionRequest | undefined {
     for (let rank = classes.length - 1; rank > 0; rank--) {
--- a/src/core/admission/connectionpacer.ts
+++ b/src/core/admission/connectionpacer.ts
@@ -1,9 +1,9 @@
-/** The pace at which a slot opens connections. */
+/** Limits how fast a slot opens connections. */
 
 import type { Instant } from '../id/instant.ts'
 import type { Limits } from './limits.ts'
 
-/** Counts the openings under way, spaces them, and backs off after failures. */
+/** Counts the connections being opened, spaces them out, and backs off after failures. */
 export class ConnectionPacer {
   private inProgress = 0
   private failures = 0
@@ -23,12 +23,12 @@
     return this.failures > 0 && now < this.nextAt
   }
 
-  /** Milliseconds until the next try. */
+  /** Milliseconds until the next attempt. */
   left (now: Instant): number {
     return Math.max(0, this.nextAt - now)
   }
 
-  /** Takes leave to open one connection. After a failure one try at a time goes out until one succeeds. */
+  /** Starts opening a connection if the pace allows it. After a failure only one attempt at a time is made until one succeeds. */
   tryStart (now: Instant): boolean {
     const most = this.failures > 0 ? 1 : this.opening.most
     if (this.inProgress >= most || now < this.nextAt) return false
@@ -42,44 +42,40 @@
     this.resetBackOff()
   }
 
-  /** Room was found, and nothing opened yet. */
+  /** An opening ended with room for a connection, without a connection. */
   recordVacancy (): void {
     this.inProgress--
   }
 
-  /** The endpoint takes connections again. */
+  /** The endpoint accepts connections again. */
   resetBackOff (): void {
     this.failures = 0
   }
 
   /**
-   * An endpoint that takes no more connections has the next one free as soon as
-   * some host gives one back, so tries neither get rarer nor count as failures:
-   * what waits goes on waiting for as long as its time allows.
+   * The endpoint is up but at its connection limit. A connection becomes free as soon as another host closes one, so this doesn't
+   * count as a failure, the pause doesn't grow, and waiting requests keep waiting while their deadlines allow.
    */
   refused (now: Instant, chance: number): void {
     this.inProgress--
     this.rest(now, chance)
   }
 
-  /** The same for an opening that wasn't counted here. */
+  /** Like `refused`, for an opening that isn't counted here. */
   rest (now: Instant, chance: number): void {
     this.nextAt = now + this.opening.backOffMs * (0.5 + chance / 2) as Instant
   }
 
-  /**
-   * Against a server that comes back and is met by every slot owner at once:
-   * tries get rarer with each failure, and chance spreads them.
-   */
+  /** Backs off exponentially with jitter, so that a recovering endpoint isn't met by all slot owners at once. */
   recordFailure (now: Instant, chance: number): void {
     this.inProgress--
     this.backOff(now, chance)
   }
 
-  /** The same for an opening that wasn't counted here. */
+  /** Like `recordFailure`, for an opening that isn't counted here. */
   backOff (now: Instant, chance: number): void {
-    const { backOffMs, maxBackOffMs: mostBackOffMs } = this.opening
-    const ms = Math.min(mostBackOffMs, backOffMs * 2 ** this.failures)
+    const { backOffMs, maxBackOffMs } = this.opening
+    const ms = Math.min(maxBackOffMs, backOffMs * 2 ** this.failures)
     this.failures++
     this.nextAt = now + ms * (0.5 + chance / 2) as Instant
   }
--- a/src/core/admission/connectionshares.ts
+++ b/src/core/admission/connectionshares.ts
@@ -1,20 +1,20 @@
-/** Who holds a slot's connections, and who may have the next one. */
+/** Tracks which classes use a slot's connections and decides which class may use the next one. */
 
 import { classes } from './classes.ts'
 import type { Limits } from './limits.ts'
 import type { AdmissionRequest } from './request.ts'
 
-/** How fast the averages follow, per tick. */
+/** Weight of the present counts in the moving averages, per tick. */
 const WEIGHT = 1 / 8
 
-/** Counts connections in use by class, and the pinned ones among them. */
+/** Counts the connections in use by class, and how many of them are pinned by transactions. */
 export class ConnectionShares {
   private readonly used = classes.map(() => 0)
   private readonly pinned = classes.map(() => 0)
   private readonly meanUsed = classes.map(() => 0)
   private readonly meanPinned = classes.map(() => 0)
 
-  /** Connections that are open or being opened: what estimates may count on. */
+  /** Connections that are open or being opened; wait estimates are based on them. */
   openOrOpening = 1
 
   private constructor (public limits: Limits) {}
@@ -23,7 +23,7 @@
     return new ConnectionShares(limits)
   }
 
-  /** Connections in use by the class. */
+  /** Connections that requests of the class use now. */
   usedBy (rank: number): number {
     return this.used[rank]!
   }
@@ -43,11 +43,9 @@
   }
 
   /**
-   * Against browsing that holds every connection while a crimp result waits: a
-   * statement that runs can't be taken back, so a class starts only what leaves
-   * free the part of the higher classes' reserves that they don't use now.
-   * Transactions hold a connection between statements too, for as long as a
-   * caller likes, so theirs is bounded further.
+   * Whether the class may start a request now. A running statement can't be preempted, so a class leaves free whatever part of the
+   * higher classes' reserves is unused. Transactions also hold a connection between statements, for as long as the caller
+   * likes, so a further limit applies to them.
    */
   canStart (rank: number, isTransaction: boolean): boolean {
     const inUse = sum(this.used)
@@ -57,7 +55,7 @@
     return !isTransaction || this.canPin(rank)
   }
 
-  /** Takes the present counts into the averages. */
+  /** Updates the moving averages with the present counts. */
   tick (): void {
     for (let rank = 0; rank < classes.length; rank++) {
       this.meanUsed[rank]! += (this.used[rank]! - this.meanUsed[rank]!) * WEIGHT
@@ -65,18 +63,18 @@
     }
   }
 
-  /** Connections that the class's queue can count on: what the higher classes and transactions leave it, never less than `least`. */
+  /** Connections on which the class's queue can rely: what higher classes and transactions leave it, at least `least`. */
   availableTo (rank: number, isTransaction: boolean, least: number): number {
-    const { reserved, maxPinned: mostPinned } = this.limits
+    const { reserved, maxPinned } = this.limits
     let left = this.openOrOpening
     for (let other = 0; other < classes.length; other++) {
       left -= other < rank ? Math.max(reserved[other]!, this.meanUsed[other]!) : this.meanPinned[other]!
     }
-    if (isTransaction) left = Math.min(left + this.meanPinned[rank]!, mostPinned[rank]!)
+    if (isTransaction) left = Math.min(left + this.meanPinned[rank]!, maxPinned[rank]!)
     return Math.max(least, left)
   }
 
-  /** The bound of a class covers the classes below it too: pins of browsing never use up those of the urgent. */
+  /** The limit of a class includes the pins of the classes below it, so that browsing never uses up the pins of urgent requests. */
   private canPin (rank: number): boolean {
     let held = 0
     for (let upper = classes.length - 1; upper >= 0; upper--) {
--- a/src/core/admission/event.ts
+++ b/src/core/admission/event.ts
@@ -1,26 +1,26 @@
-/** What can happen to a slot, as its admission counts it. */
+/** Events of a slot that its admission takes in. */
 
 import type { AdmissionRequest } from './request.ts'
 
 export type AdmissionEvent =
   | { readonly kind: 'arrived', readonly request: AdmissionRequest }
-  /** The request gave its connection back; one that isn't usable is closed. */
+  /** The request returned its connection; one that isn't usable is closed. */
   | { readonly kind: 'finished', readonly id: number, readonly isUsable: boolean }
-  /** The request doesn't want a connection any more; no answer is owed. */
+  /** The request no longer needs a connection and expects no answer. */
   | { readonly kind: 'cancelled', readonly id: number }
-  /** `isVacant`: there is room for a connection, which is opened for the request that gets it. */
+  /** `isVacant`: there is room for one more connection, which is opened only for the request that gets it. */
   | { readonly kind: 'opened', readonly isVacant?: boolean }
-  /** A request that was started gets a connection of its own beside the one that it would have taken, which stays idle. */
+  /** A started request opens a connection of its own; the idle connection that it would have taken stays idle. */
   | { readonly kind: 'added' }
-  /** The connection for a request that was started is there, */
+  /** The connection for a started request was opened. */
   | { readonly kind: 'dialled' }
-  /** couldn't be had, */
+  /** The connection for a started request could not be opened. */
   | { readonly kind: 'dialFailed' }
-  /** or the endpoint lives and takes no more now. The request has given its place back before. */
+  /** The endpoint is up but accepts no more connections for now. The started request has already returned its place. */
   | { readonly kind: 'dialRefused' }
   | { readonly kind: 'openFailed' }
-  /** The endpoint lives and takes no more connections now. */
+  /** The endpoint is up but accepts no more connections for now. */
   | { readonly kind: 'openRefused' }
-  /** Connections broke while nobody used them. */
+  /** Idle connections broke. */
   | { readonly kind: 'lost', readonly count: number }
   | { readonly kind: 'tick' }
--- a/src/core/admission/fairqueue.ts
+++ b/src/core/admission/fairqueue.ts
@@ -1,4 +1,4 @@
-/** The requests of one class that wait, shared fairly between callers. */
+/** The waiting requests of one class, shared fairly between callers. */
 
 import type { CallerId } from '../id/caller.ts'
 import type { Instant } from '../id/instant.ts'
@@ -6,23 +6,22 @@
 
 interface CallerQueue {
   readonly waiting: AdmissionRequest[]
-  /** Milliseconds of connections that the caller has used, counted from when it joined. */
+  /** Connection time in milliseconds that the caller has used, on the queue's virtual clock. */
   usedMs: number
 }
 
 /**
- * Start-time fair queueing: next is the caller that has used the least
- * connection time, charged with what its requests really took. So neither many
- * requests nor long ones give a caller more than its share while others wait.
+ * Start-time fair queueing: the caller that has used the least connection time is next. Callers are charged the actual service time
+ * of their requests, so neither many requests nor long ones give a caller more than its share while others wait.
  *
- * Requests that can still make their aim go before those that can't. Guard against an overload in which first come first served makes everybody late:
- * each waits for as long as the queue is, longer than its aim, and what is carried serves nobody well. A late one has its turn once no other waits.
- * Changes in place: it's touched by every request, and copying would cost its length.
+ * Requests before their soft deadline (`aim`) go before those past it. In an overload, first come first served would make every
+ * request miss its soft deadline; this way some still meet it, and late requests run when no others wait.
+ * Mutable: every request updates it, and copying would cost its length.
  */
 export class FairQueue {
   private readonly callerQueues = new Map<CallerId, CallerQueue>()
   private length = 0
-  /** The most that a caller had used when it was served. */
+  /** Virtual time: the highest usage of a caller at the time it was served. */
   private level = 0
 
   private constructor () {}
@@ -39,22 +38,22 @@
     return this.callerQueues.get(caller)?.waiting.length ?? 0
   }
 
-  /** How many requests go first if the caller's next one joins, the others taking turns with it. */
+  /** How many requests would be served before the caller's next one, with callers taking turns. */
   countAhead (caller: CallerId, now: Instant): number {
-    const count = (lane: CallerQueue) => lane.waiting.reduce((sum, request) => sum + (isBeforeAim(request, now) ? 1 : 0), 0)
+    const count = (queue: CallerQueue) => queue.waiting.reduce((sum, request) => sum + (isBeforeAim(request, now) ? 1 : 0), 0)
     const joined = this.callerQueues.get(caller)
     const own = joined === undefined ? 0 : count(joined)
     let sum = own
-    for (const lane of this.callerQueues.values()) {
-      if (lane !== joined) sum += Math.min(count(lane), own + 1)
+    for (const queue of this.callerQueues.values()) {
+      if (queue !== joined) sum += Math.min(count(queue), own + 1)
     }
     return sum
   }
 
   push (request: AdmissionRequest): void {
-    const lane = this.queueOf(request.caller)
-    if (lane.waiting.length === 0) lane.usedMs = Math.max(lane.usedMs, this.initialUsedMs())
-    lane.waiting.push(request)
+    const queue = this.queueOf(request.caller)
+    if (queue.waiting.length === 0) queue.usedMs = Math.max(queue.usedMs, this.initialUsedMs())
+    queue.waiting.push(request)
     this.length++
   }
 
@@ -65,10 +64,10 @@
   shift (now: Instant): AdmissionRequest | undefined {
     const turn = this.nextTurn(now)
     if (turn === undefined) return undefined
-    const { lane, request } = turn
-    this.level = Math.max(this.level, lane.usedMs)
+    const { queue, request } = turn
+    this.level = Math.max(this.level, queue.usedMs)
     this.length--
-    lane.waiting.splice(lane.waiting.indexOf(request), 1)
+    queue.waiting.splice(queue.waiting.indexOf(request), 1)
     return request
   }
 
@@ -80,27 +79,27 @@
     this.length--
   }
 
-  /** Charges connection time to a caller; negative to correct an estimate. */
+  /** Charges connection time to a caller; a negative amount corrects an estimate. */
   charge (caller: CallerId, ms: number): void {
     this.queueOf(caller).usedMs += ms
   }
 
-  /** The newest request of the caller with the most waiting: the one to give up for another caller's first. */
+  /** The newest request of the caller with the most waiting requests: the first to evict in favour of another caller. */
   newestOfLongest (): AdmissionRequest | undefined {
     let most: CallerQueue | undefined
-    for (const lane of this.callerQueues.values()) {
-      if (lane.waiting.length > (most?.waiting.length ?? 0)) most = lane
+    for (const queue of this.callerQueues.values()) {
+      if (queue.waiting.length > (most?.waiting.length ?? 0)) most = queue
     }
     return most?.waiting.at(-1)
   }
 
-  /** Every waiting request with the number that goes before it. */
+  /** Every waiting request with the number of requests served before it. */
   * inServingOrder (now: Instant): Generator<readonly [AdmissionRequest, number]> {
-    const lanes = [...this.callerQueues.values()].filter(lane => lane.waiting.length > 0)
-    const inAim = lanes.map(({ waiting }) => waiting.filter(request => isBeforeAim(request, now)))
-    const late = lanes.map(({ waiting }) => waiting.filter(request => !isBeforeAim(request, now)))
+    const queues = [...this.callerQueues.values()].filter(queue => queue.waiting.length > 0)
+    const onTime = queues.map(({ waiting }) => waiting.filter(request => isBeforeAim(request, now)))
+    const late = queues.map(({ waiting }) => waiting.filter(request => !isBeforeAim(request, now)))
     let before = 0
-    for (const part of [inAim, late]) {
+    for (const part of [onTime, late]) {
       const longest = Math.max(0, ...part.map(({ length }) => length))
       for (let turn = 0; turn < longest; turn++) {
         for (const requests of part) {
@@ -111,42 +110,42 @@
     }
   }
 
-  /** Forgets callers that wait for nothing and owe nothing, so that the table doesn't grow with all callers ever seen. */
+  /** Removes callers without waiting requests or outstanding usage, so that memory isn't proportional to all callers ever seen. */
   removeIdleCallers (): void {
-    for (const [caller, lane] of this.callerQueues) {
-      if (lane.waiting.length === 0 && (this.length === 0 || lane.usedMs <= this.level)) this.callerQueues.delete(caller)
+    for (const [caller, queue] of this.callerQueues) {
+      if (queue.waiting.length === 0 && (this.length === 0 || queue.usedMs <= this.level)) this.callerQueues.delete(caller)
     }
   }
 
   private queueOf (caller: CallerId): CallerQueue {
     const known = this.callerQueues.get(caller)
     if (known !== undefined) return known
-    const lane: CallerQueue = { waiting: [], usedMs: this.initialUsedMs() }
-    this.callerQueues.set(caller, lane)
-    return lane
+    const queue: CallerQueue = { waiting: [], usedMs: this.initialUsedMs() }
+    this.callerQueues.set(caller, queue)
+    return queue
   }
 
-  /** Where a caller that joins begins: level with the next in turn, so that idling earns nothing and a burst before it costs nothing. */
+  /** Initial usage of a caller that joins: equal to that of the next caller, so that neither idle time nor an earlier burst counts. */
   private initialUsedMs (): number {
     return Math.min(this.level, this.nextCaller()?.usedMs ?? this.level)
   }
 
-  private nextTurn (now: Instant): { readonly lane: CallerQueue, readonly request: AdmissionRequest } | undefined {
-    let best: { readonly lane: CallerQueue, readonly request: AdmissionRequest } | undefined
-    for (const lane of this.callerQueues.values()) {
-      if (best !== undefined && lane.usedMs >= best.lane.usedMs) continue
-      const request = lane.waiting.find(request => isBeforeAim(request, now))
-      if (request !== undefined) best = { lane, request }
+  private nextTurn (now: Instant): { readonly queue: CallerQueue, readonly request: AdmissionRequest } | undefined {
+    let best: { readonly queue: CallerQueue, readonly request: AdmissionRequest } | undefined
+    for (const queue of this.callerQueues.values()) {
+      if (best !== undefined && queue.usedMs >= best.queue.usedMs) continue
+      const request = queue.waiting.find(request => isBeforeAim(request, now))
+      if (request !== undefined) best = { queue, request }
     }
     if (best !== undefined) return best
-    const lane = this.nextCaller()
-    return lane === undefined ? undefined : { lane, request: lane.waiting[0]! }
+    const queue = this.nextCaller()
+    return queue === undefined ? undefined : { queue, request: queue.waiting[0]! }
   }
 
   private nextCaller (): CallerQueue | undefined {
     let best: CallerQueue | undefined
-    for (const lane of this.callerQueues.values()) {
-      if (lane.waiting.length > 0 && (best === undefined || lane.usedMs < best.usedMs)) best = lane
+    for (const queue of this.callerQueues.values()) {
+      if (queue.waiting.length > 0 && (best === undefined || queue.usedMs < best.usedMs)) best = queue
     }
     return best
   }
--- a/src/core/admission/limits.ts
+++ b/src/core/admission/limits.ts
@@ -1,38 +1,38 @@
-/** The limits of one slot. */
+/** Limits of one slot. */
 
 interface Opening {
-  /** Most openings under way at once. */
+  /** Maximum number of connections being opened at once. */
   readonly most: number
-  /** Least time from one opening to the next. */
+  /** Minimum time between two openings. */
   readonly intervalMs: number
-  /** The pause after the first failure; it doubles with each further one. */
+  /** Pause after the first failure; it doubles with each further one. */
   readonly backOffMs: number
   readonly maxBackOffMs: number
 }
 
 interface Fields {
   readonly connections: number
-  /** Most requests that wait, of all classes together: the bound on the queue's memory. */
+  /** Maximum number of waiting requests of all classes together; bounds the queue's memory. */
   readonly maxQueued: number
-  /** Connections by rank that lower classes leave alone. */
+  /** By rank: connections that lower classes leave free. */
   readonly reserved: readonly number[]
-  /** Most connections by rank that transactions of the class and of those below it may hold. */
+  /** By rank: maximum number of connections that transactions of the class and of those below it may pin. */
   readonly maxPinned: readonly number[]
   readonly opening: Opening
-  /** The longest time to come back, before the jitter. */
+  /** Maximum retry-after time, before jitter. */
   readonly maxRetryAfterMs: number
-  /** The share of a class's connections that is booked out to those told to come back; the rest is left to new requests. */
+  /** Share of a class's connections set aside for refused callers that come back; the rest is for new requests. */
   readonly retryShare: number
-  /** The time to come back is stretched by up to this share of itself. */
+  /** Retry-after times are extended at random by up to this share. */
   readonly jitter: number
 }
 
-/** Shares of the connections, by rank. */
+/** Shares of a slot's connections, by rank. */
 const RESERVED_SHARES = [1 / 8, 1 / 8, 0]
 const MAX_PINNED_SHARES = [7 / 8, 5 / 8, 1 / 4]
 const QUEUED_PER_CONNECTION = 128
 
-/** Immutable; `with` yields limits that differ. */
+/** Immutable; `with` returns a copy with some limits changed. */
 export class Limits implements Fields {
   readonly connections: number
   readonly maxQueued: number
@@ -54,7 +54,7 @@
     this.jitter = fields.jitter
   }
 
-  /** The limits of a slot with so many connections for requests; at least one of them serves every class. */
+  /** The limits of a slot with this many connections for requests. At least one connection serves every class. */
   static of (connections: number): Limits {
     const most = Math.max(1, connections)
     return new Limits({
--- a/src/core/admission/servicetime.ts
+++ b/src/core/admission/servicetime.ts
@@ -1,8 +1,8 @@
-/** How long requests hold a connection, measured. */
+/** Estimates how long requests hold a connection. */
 
 import type { Instant } from '../id/instant.ts'
 
-/** Taken until the first sample: a guess for a short statement. */
+/** Used until the first sample; typical of a short statement. */
 const INITIAL_MS = 5
 const MIN_MS = 0.05
 const WEIGHT = 1 / 16
@@ -10,10 +10,9 @@
 const HALF_LIFE_MS = 1000
 
 /**
- * A moving mean whose samples are clipped to a quarter and four times of it: one
- * statement that hangs for seconds moves it by a fifth, a lasting change is
- * followed within some thirty samples. A mean and not a median, since it's the
- * mean that says how soon a queue drains. Changes in place: it takes a sample of every request.
+ * An exponential moving average of service times. Each sample is clipped to between a quarter and four times the mean, so that
+ * a statement that hangs for seconds moves it by a fifth, while a lasting change is followed within about thirty samples. It's
+ * a mean and not a median because the mean determines how fast a queue drains. Mutable: it takes a sample of every request.
  */
 export class ServiceTime {
   private mean = INITIAL_MS
@@ -33,20 +32,16 @@
   }
 
   /**
-   * Takes a request that was cut off. Its true time is longer than it ran, so it
-   * never lowers the mean. Taken as an ordinary sample it would: cut-offs lower the
-   * mean, with a low mean requests start too shortly before their deadline, and
-   * so more are cut off, until nothing is ever done in time, even at a load
-   * that the endpoint carries.
+   * Adds a request that was cut off. Its true service time is longer than it ran, so the sample never lowers the mean: a mean
+   * that is too low would start requests too close to their deadlines, which would cut off more of them and lower it further.
    */
   addCutOff (ms: number, now: Instant): void {
     this.add(Math.max(ms, this.at(now)), now)
   }
 
   /**
-   * Against a stall that leaves a high mean behind: everything would be refused
-   * for it, no sample would come and correct it, and the class would stay shut.
-   * So a mean without samples is halved each second, down to the first guess.
+   * The estimate at `now`. Without samples a high mean is halved every second, down to the initial value. Otherwise a mean left
+   * by a stall would refuse all requests of the class, and no sample could ever correct it.
    */
   at (now: Instant): number {
     const quiet = now - this.sampledAt - HALF_LIFE_MS
--- a/src/core/allowance/allowance.test.ts
+++ b/src/core/allowance/allowance.test.ts
@@ -1,4 +1,4 @@
-/** The parts of an allowance: shards, buckets, who issues, and what a host has in hand. */
+/** Guards against more operations than an allowance permits, and against tokens lost to partitions and restarts. */
 
 import { describe, expect, it } from 'vitest'
 import type { HostId } from '../id/host.ts'
@@ -28,7 +28,7 @@
     expect(Shard.of({ perSecond, burst }, { ...BOUNDS, slack }).count).toBe(count)
   })
 
-  it('lies at a place of its own, which differ from team to team', () => {
+  it('is issued at a place of its own, and the places differ from team to team', () => {
     const shard = Shard.of({ perSecond: 5, burst: 5 }, BOUNDS)
     const places = Array.from({ length: 50 }, (_, i) => shard.placesOf(`t${i}`, 24))
     expect(places.every(of => new Set(of).size === 5)).toBe(true)
@@ -37,49 +37,49 @@
 })
 
 describe('a bucket', () => {
-  // One shard: one token a second, and a depth of 1.6.
+  // One shard: one token per second, and a depth of 1.6.
   const shard = Shard.of({ perSecond: 1, burst: 1 }, { ...BOUNDS, overage: 0, slack: 2 })
   const taken = (bucket: TokenBucket, wanted: number, ms: number) => bucket.take(wanted, at(ms)).taken
 
   it.each<[string, TokenBucket, number, number]>([
-    ['is full where nobody issued before', TokenBucket.since(at(-Infinity), shard), 100, 1],
+    ['is full if nobody issued before', TokenBucket.since(at(-Infinity), shard), 100, 1],
     ['is empty at its start', TokenBucket.since(at(0), shard), 0, 0],
     ['fills', TokenBucket.since(at(0), shard), 1500, 1],
     ['fills up to its depth', TokenBucket.since(at(0), shard), 60_000, 1],
-    ['begins with its credit, which may be less than a token', TokenBucket.since(at(0), shard).withTokens(shard.credit, at(0)), 0, 0]
+    ['starts with its credit, which may be less than a token', TokenBucket.since(at(0), shard).withTokens(shard.credit, at(0)), 0, 0]
   ])('%s', (_name, bucket, ms, expected) => expect(taken(bucket, 10, ms)).toBe(expected))
 
-  it('gives no more than is wanted, and tells when there is another', () => {
+  it('gives no more than is wanted, and says when the next one is available', () => {
     const { next } = TokenBucket.since(at(-Infinity), shard).take(1, at(0))
     expect(taken(next, 10, 0)).toBe(0)
     expect(next.nextMs(at(0))).toBe(400)
   })
 
-  it('keeps what gathered under another limit, as far as that lets it', () => {
+  it('keeps its tokens when limits change, up to the new depth', () => {
     const full = TokenBucket.since(at(-Infinity), Shard.of({ perSecond: 300, burst: 300 }, BOUNDS))
     expect(taken(full.withShard(shard, at(0)), 10, 0)).toBe(1)
     expect(taken(TokenBucket.since(at(0), shard).withShard(Shard.of({ perSecond: 300, burst: 300 }, BOUNDS), at(0)), 10, 0)).toBe(0)
   })
 
-  it('never has one where the rate is nothing and the burst is used', () => {
+  it('never has a token when the rate is zero and the burst is used up', () => {
     const none = Shard.of({ perSecond: 0, burst: 0 }, { ...BOUNDS, slack: 0 })
     expect(TokenBucket.since(at(0), none).nextMs(at(0))).toBe(Infinity)
   })
 })
 
-describe('the hosts that issue', () => {
-  it.each([[1, 1], [7, 7], [84, 12], [300, 43], [2000, 286]])('%d hosts have %d places', (count, expected) => {
+describe('the issuer table', () => {
+  it.each([[1, 1], [7, 7], [84, 12], [300, 43], [2000, 286]])('for %d hosts has %d places', (count, expected) => {
     const { places } = IssuerTable.initial(hosts(count))
     expect([places.length, new Set(places.map(({ host }) => host)).size]).toEqual([expected, expected])
   })
 
-  it('are read as they were written', () => {
+  it('is decoded as it was encoded', () => {
     const made = IssuerTable.initial(hosts(84)).withReplacement(2, hosts(84))!
     expect(IssuerTable.decode(made.encode())!.places).toEqual(made.places)
     expect(['', '[]', '{}', '[{"host":1}]'].map(text => IssuerTable.decode(text))).toEqual([undefined, undefined, undefined, undefined])
   })
 
-  it('have another in place of one that is gone, and no other is moved', () => {
+  it('replaces a host that is gone and moves no other', () => {
     const before = IssuerTable.initial(hosts(84))
     const after = before.withReplacement(2, hosts(84))!
     expect(after.places.filter(({ host }, i) => host !== before.places[i]!.host).length).toBe(1)
@@ -87,7 +87,7 @@
   })
 })
 
-describe('a mandate', () => {
+describe('an issuer lease', () => {
   const first = IssuerTable.initial(hosts(84))
   const [own, other] = [first.places[0]!.host, first.places[1]!.host]
   const options = { self: own, leaseMs: 5000, isFirstStart: false, processStartedAt: at(40) }
@@ -96,17 +96,17 @@
   const successor = moved.places[1]!.host
 
   it.each<[string, IssuerLease, number, number, number, number | undefined]>([
-    ['of nobody', IssuerLease.none(options), 0, 0, 10, undefined],
-    ['at its own place, from its birth', IssuerLease.none(options).withTable(first, at(100)), 0, 0, 100, 40],
-    ['at the first start of all, from ever', IssuerLease.none({ ...options, isFirstStart: true }).withTable(first, at(100)), 0, 0, 100, -Infinity],
+    ['without a place', IssuerLease.none(options), 0, 0, 10, undefined],
+    ['at its own place, from the start of the process', IssuerLease.none(options).withTable(first, at(100)), 0, 0, 100, 40],
+    ['at the first start of the system, without a beginning', IssuerLease.none({ ...options, isFirstStart: true }).withTable(first, at(100)), 0, 0, 100, -Infinity],
     ['at another\'s place', IssuerLease.none(options).withTable(first, at(100)), 1, 0, 200, undefined],
-    ['on knowledge that is too old', IssuerLease.none(options).withTable(first, at(100)), 0, 5001, 200, undefined],
-    ['in place of another, before that one has stopped', IssuerLease.none({ ...options, self: successor }).withTable(moved, at(100)), 1, 0, 5349, undefined],
-    ['in place of another, later', IssuerLease.none({ ...options, self: successor }).withTable(moved, at(100)), 1, 0, 5350, 5350],
+    ['with a copy of the row that is too old', IssuerLease.none(options).withTable(first, at(100)), 0, 5001, 200, undefined],
+    ['in place of another host, before that one has stopped', IssuerLease.none({ ...options, self: successor }).withTable(moved, at(100)), 1, 0, 5349, undefined],
+    ['in place of another host, later', IssuerLease.none({ ...options, self: successor }).withTable(moved, at(100)), 1, 0, 5350, 5350],
     ['replaced', IssuerLease.none({ ...options, self: other }).withTable(first, at(100)).withTable(moved, at(200)), 1, 0, 300, undefined],
-    ['given to another and back, of which it heard only now', IssuerLease.none(options).withTable(first, at(100)).withTable(backAgain, at(20_000)), 0, 0, 20_100, undefined],
-    ['kept through a change elsewhere', IssuerLease.none(options).withTable(first, at(100)).withTable(moved, at(200)), 0, 0, 300, 40]
-  ])('%s', (_name, mandate, place, ageMs, now, expected) => expect(mandate.issuesSince(place, ageMs, at(now))).toBe(expected))
+    ['reassigned to another host and back, learnt only now', IssuerLease.none(options).withTable(first, at(100)).withTable(backAgain, at(20_000)), 0, 0, 20_100, undefined],
+    ['kept while another place changes', IssuerLease.none(options).withTable(first, at(100)).withTable(moved, at(200)), 0, 0, 300, 40]
+  ])('%s', (_name, lease, place, ageMs, now, expected) => expect(lease.issuesSince(place, ageMs, at(now))).toBe(expected))
 })
 
 describe('an issuer', () => {
@@ -114,14 +114,14 @@
   const shard = Shard.of({ perSecond: 0, burst: 20 }, { ...BOUNDS, overage: 0, slack: 40 })
   const wanted = (count: number, since: number, place = 0) => ({ place, team: 't' as TeamId, count, shard, since: at(since) })
 
-  it('gives a bucket once, to whoever asks', () => {
+  it('gives the tokens of a bucket once, whoever asks', () => {
     const issuer = TokenIssuer.create()
     const counts = [1, 10, 10].map(count => issuer.issue(wanted(count, -Infinity), at(0)).count)
     expect(counts).toEqual([1, 1, 0])
     expect(issuer.issue(wanted(10, -Infinity, 1), at(0)).count).toBe(2)
   })
 
-  it('gives the credit of a place to the buckets that it has and to those that come', () => {
+  it('adds the credit of a place to its present and future buckets', () => {
     const issuer = TokenIssuer.create()
     expect(issuer.issue(wanted(10, 0), at(0)).count).toBe(0)
     issuer.credit(0, at(0), at(0))
@@ -130,31 +130,31 @@
     expect(issuer.issue(wanted(10, 0, 1), at(0)).count).toBe(0)
   })
 
-  it('begins anew, and empty, when it takes a place again', () => {
+  it('starts with empty buckets when it takes a place again', () => {
     const issuer = TokenIssuer.create()
     issuer.issue(wanted(1, -Infinity), at(0))
     expect(issuer.issue(wanted(10, 1000), at(1000)).count).toBe(0)
   })
 })
 
-describe('the tokens in hand', () => {
+describe('the tokens of a team', () => {
   const silence = IssuerBackOff.create()
   const made = () => TeamTokens.of([0, 1, 2], silence, 0, at(0))
   const got = (count: number, nextMs = 0, askedAt = 0) => ({ count, nextMs, askedAt: at(askedAt), lifetimeMs: 400 })
 
-  it('count from the question for them, and no longer', () => {
+  it('are valid for their lifetime from the request for them', () => {
     const tokens = made()
     tokens.answered(0, got(2), at(50))
     expect([tokens.take(at(399)), tokens.take(at(400))]).toEqual([400, undefined])
   })
 
-  it('are none after a suspension', () => {
+  it('have expired after a suspension', () => {
     const tokens = made()
     tokens.answered(0, got(2), at(50))
     expect(tokens.take(at(86_400_000))).toBeUndefined()
   })
 
-  it('come from one place after the other, and not from one that has none or is silent', () => {
+  it('come from one place after the other, except places that are empty or don\'t answer', () => {
     const tokens = made()
     const places = () => [0, 1, 2].map(() => tokens.next(1, 400, at(10))).map(next => next.kind === 'ask' ? next.place : -1)
     expect(places()).toEqual([0, 1, 2])
@@ -168,14 +168,14 @@
     expect(tokens.next(1, 400, at(111))).toEqual({ kind: 'none', ms: 199, isSilent: false })
   })
 
-  it('are fetched ahead by what was used lately', () => {
+  it('are prefetched according to recent usage', () => {
     const tokens = made()
     for (let i = 0; i < 40; i++) tokens.take(at(i * 10))
     expect(tokens.prefetchCount(400, at(400))).toBeGreaterThanOrEqual(5)
     expect(tokens.prefetchCount(400, at(5000))).toBe(0)
   })
 
-  it('that were put back are used again', () => {
+  it('that were returned are used again', () => {
     const tokens = made()
     tokens.answered(0, got(1), at(50))
     tokens.putBack(tokens.take(at(60))!)
--- a/src/core/allowance/bounds.ts
+++ b/src/core/allowance/bounds.ts
@@ -1,10 +1,10 @@
-/** How exactly allowances are kept, as the settings say. */
+/** Bounds within which allowances are enforced, from the settings. */
 
 export interface AllowanceBounds {
-  /** In any span of this length no more than rate x span + burst may run, but for the tolerance. Milliseconds. */
+  /** In any window of this length at most rate x window + burst operations run, plus a tolerance. Milliseconds. */
   readonly windowMs: number
-  /** The tolerance: this share of it, */
+  /** Part of the tolerance: this share of rate x window + burst. */
   readonly overage: number
-  /** and so many operations. */
+  /** Part of the tolerance: this number of operations. */
   readonly slack: number
 }
--- a/src/core/allowance/issuerbackoff.ts
+++ b/src/core/allowance/issuerbackoff.ts
@@ -1,4 +1,4 @@
-/** The places whose issuers didn't answer this host lately. */
+/** Back-off from issuers that didn't answer this host. */
 
 import type { Instant } from '../id/instant.ts'
 
@@ -7,12 +7,12 @@
   readonly until: Instant
 }
 
-/** A place is asked again after so long, since a question is a datagram and a process that starts is there within a few hundred milliseconds; twice as long after each further silence, */
+/** Delay before an issuer is asked again, since a request is a datagram that may be lost; doubles with each further timeout. */
 const INITIAL_BACK_OFF_MS = 100
-/** up to this: of hosts behind a cut a few questions a second stay open. */
+/** Maximum delay; a few requests a second still go to hosts behind a partition. */
 const MAX_BACK_OFF_MS = 1600
 
-/** Changes in place. What one team's question finds out holds for all. */
+/** Mutable. Timeouts of one team's requests count for all teams. */
 export class IssuerBackOff {
   private readonly silent = new Map<number, BackOffEntry>()
 
@@ -31,7 +31,7 @@
     this.silent.set(place, { times, until: now + Math.min(MAX_BACK_OFF_MS, INITIAL_BACK_OFF_MS * 2 ** (times - 1)) as Instant })
   }
 
-  /** Until when the place isn't asked; undefined when it may be. */
+  /** Until when the place isn't asked; undefined if it may be asked now. */
   until (place: number, now: Instant): Instant | undefined {
     const until = this.silent.get(place)?.until
     return until !== undefined && until > now ? until : undefined
--- a/src/core/allowance/issuerlease.ts
+++ b/src/core/allowance/issuerlease.ts
@@ -11,25 +11,24 @@
 
 interface Options {
   readonly self: HostId
-  /** A host goes on issuing for so long on what it knows of the row, so one that takes a place waits for as long. Milliseconds. */
+  /** How long a host goes on issuing after it last read the row, and how long a new issuer waits before it starts. Milliseconds. */
   readonly leaseMs: number
-  /** Whether the whole system starts for the first time, so that nobody issued before. */
+  /** Whether the whole system starts for the first time, so that no host has issued before. */
   readonly isFirstStart: boolean
-  /** When this process began, and so whatever this host did before was over. */
+  /** When this process started; its previous incarnation had ended by then. */
   readonly processStartedAt: Instant
 }
 
-/** The clocks of two hosts part by far less than this share in such a time. */
+/** Maximum drift between the clocks of two hosts, as a share of the elapsed time. */
 const MAX_CLOCK_DRIFT = 0.05
 
 /**
- * Guard against two hosts that issue one shard: one that is cut off goes on, and another takes its place. Nobody issues on knowledge
- * of the row that may be older than `trustMs`. So whoever is named in place of another waits for that long from the moment at
- * which it learnt of it: by then the other one has heard of it too, or has stopped. No clocks are compared, and the store isn't asked.
+ * Ensures that no two hosts issue the same shard at a time. A host issues only while its copy of the row is at most `leaseMs` old. A host
+ * that replaces another one waits that long after it learns of the change: by then the other host has read the row too, or has
+ * stopped. No clocks are compared, and the store isn't asked.
  *
- * A process that starts anew in its own place needs no wait, since its life before is over; its buckets are empty at its birth. Counting
- * from there and not from the row is worth about half a second's tokens in the second after a power loss, when callers need them most.
- * Immutable; `now` is of the monotonic clock, which stands still while the host is suspended, so that no wait is cut short.
+ * A process that restarts in its own place doesn't wait, since its previous incarnation has ended; its buckets are empty at its start.
+ * Immutable; `now` is of the monotonic clock, which stops while the host is suspended, so that suspension doesn't shorten a wait.
  */
 export class IssuerLease {
   private constructor (private readonly options: Options, private readonly held: ReadonlyMap<number, Held>) {}
@@ -38,26 +37,26 @@
     return new IssuerLease(options, new Map())
   }
 
-  /** By the row as it's known now. */
+  /** Updates the lease from the table read at `now`. */
   withTable (issuers: IssuerTable, now: Instant): IssuerLease {
-    const { self, leaseMs: trustMs, isFirstStart, processStartedAt: bornAt } = this.options
+    const { self, leaseMs, isFirstStart, processStartedAt } = this.options
     const own = issuers.places.flatMap(({ host, term }, place): Array<[number, Held]> => {
       if (host !== self) return []
       const held = this.held.get(place)
-      // In another term somebody else may have issued since, also when this host heard of that only now.
+      // In another term another host may have issued since, even if this host learns of it only now.
       if (held?.term === term) return [[place, held]]
-      const first = isFirstStart ? -Infinity : bornAt
-      return [[place, { term, since: (term > 0 ? now + trustMs * (1 + MAX_CLOCK_DRIFT) : first) as Instant }]]
+      const first = isFirstStart ? -Infinity : processStartedAt
+      return [[place, { term, since: (term > 0 ? now + leaseMs * (1 + MAX_CLOCK_DRIFT) : first) as Instant }]]
     })
     return new IssuerLease(this.options, new Map(own))
   }
 
-  /** The places at which this process starts anew, and so with empty buckets. */
+  /** Places whose lease began when this process started, so that their buckets start empty. */
   restartedPlaces (): readonly number[] {
     return [...this.held].filter(([, { since }]) => since === this.options.processStartedAt).map(([place]) => place)
   }
 
-  /** Since when this host issues at the place; undefined when it may not now. `ageMs`: how old its knowledge of the row may be. */
+  /** Since when this host issues at the place; undefined if it may not issue now. `ageMs`: age of its copy of the row. */
   issuesSince (place: number, ageMs: number, now: Instant): Instant | undefined {
     const since = this.held.get(place)?.since
     return since === undefined || now < since || ageMs > this.options.leaseMs ? undefined : since
--- a/src/core/allowance/issuertable.ts
+++ b/src/core/allowance/issuertable.ts
@@ -1,4 +1,4 @@
-/** Which host issues the tokens of each place, as the shared row says. */
+/** Which host issues the tokens of each place, as stored in the shared row. */
 
 import * as z from 'zod'
 import type { HostId } from '../id/host.ts'
@@ -8,27 +8,27 @@
 
 interface Place {
   readonly host: HostId
-  /** How often the place was given to another host. From 1 on there was one before, who may not have heard yet that it was replaced. */
+  /** How often the place was reassigned. If it's 1 or more, an earlier issuer may not know yet that it was replaced. */
   readonly term: number
 }
 
 const shape = z.array(z.object({ host: z.string().transform(id => id as HostId), term: z.int().nonnegative() }))
 
-/** One place for so many hosts, so that what an issuer has to do doesn't grow with the hosts. */
+/** Hosts per place, so that the work of an issuer doesn't grow with the number of hosts. */
 const HOSTS_PER_PLACE = 7
 
-/** Immutable. The number of places never changes: with it a team's shards would move to other hosts. */
+/** Immutable. The number of places never changes: changing it would move teams' shards to other hosts. */
 export class IssuerTable {
   private constructor (readonly places: readonly Place[]) {}
 
-  /** Where nobody issued before. */
+  /** The initial table, when no host has issued before. */
   static initial (hosts: readonly HostId[]): IssuerTable {
     const count = Math.max(Math.min(hosts.length, Shard.most), Math.ceil(hosts.length / HOSTS_PER_PLACE))
     const ranked = byWeight(hosts)
     return new IssuerTable(Array.from({ length: count }, (_, i) => ({ host: ranked[i]!, term: 0 })))
   }
 
-  /** Undefined for a row that can't be read. */
+  /** Decodes a row; undefined if it's unreadable. */
   static decode (text: string): IssuerTable | undefined {
     const parsed = shape.safeParse(readJson(text))
     return parsed.success && parsed.data.length > 0 ? new IssuerTable(parsed.data) : undefined
@@ -42,7 +42,7 @@
     return this.places[place]?.host
   }
 
-  /** With another host in place of one that doesn't answer: the first that issues nowhere yet; undefined when there is none. */
+  /** The table with the host of a place replaced by the first one that issues nowhere; undefined if there is none. */
   withReplacement (place: number, hosts: readonly HostId[]): IssuerTable | undefined {
     const used = new Set(this.places.map(({ host }) => host))
     const next = byWeight(hosts).find(host => !used.has(host))
--- a/src/core/allowance/rate.ts
+++ b/src/core/allowance/rate.ts
@@ -1,8 +1,8 @@
-/** How much a team may ask of the whole system. */
+/** The allowance of a team over the whole system. */
 
-/** Operations, over all hosts together. */
+/** Limits on operations, over all hosts together. */
 export interface Rate {
   readonly perSecond: number
-  /** How many may come at once on top of it. */
+  /** Operations that may come at once on top of the rate. */
   readonly burst: number
 }
--- a/src/core/allowance/shard.ts
+++ b/src/core/allowance/shard.ts
@@ -5,17 +5,17 @@
 import type { Rate } from './rate.ts'
 
 /**
- * Each shard is issued by a host of its own, so a part of the hosts that is cut off from the rest has about the same part of each allowance as of its callers. With three
- * shards a third of the hosts had none of a team's for most teams, and refused all that came for as long as a cut lasted.
+ * Each shard is issued by a different host, so that hosts that are cut off from the rest keep about the same part of each allowance
+ * as of its callers. With few shards a small partition would have none of most teams' tokens.
  */
 const MAX_SHARDS = 12
-/** Whole tokens that a shard's bucket holds at least: with one, what has gathered of the next is of no use, and a small team was refused 0.3% of what it asked below its limit (in the model of many hosts). */
+/** Minimum depth of a shard's bucket in tokens; with a depth of one, fractions of the next token would be wasted. */
 const MIN_DEPTH_TOKENS = 2
-/** What the tolerance is used for: deeper buckets, so that the shards of a small burst hold whole tokens; */
+/** Share of the tolerance used for deeper buckets, so that the shards of a small burst hold whole tokens. */
 const DEPTH_SHARE = 0.3
-/** tokens that an issuer has in hand when it starts anew and doesn't know what its life before issued; */
+/** Share of the tolerance used for the credit of an issuer that starts without knowing what its previous incarnation issued. */
 const CREDIT_SHARE = 0.4
-/** and tokens that are used later than they were issued. */
+/** Share of the tolerance used for tokens that are used later than they were issued. */
 const LATE_USE_SHARE = 1 - DEPTH_SHARE - CREDIT_SHARE
 
 /** Immutable. */
@@ -23,21 +23,21 @@
   static readonly most = MAX_SHARDS
 
   private constructor (
-    /** Shards that the allowance is divided into. */
+    /** Number of shards of the allowance. */
     readonly count: number,
-    /** Tokens that come in a millisecond. */
+    /** Fill rate in tokens per millisecond. */
     readonly perMs: number,
-    /** The most that gather. */
+    /** Maximum number of tokens in the bucket. */
     readonly depth: number,
-    /** Tokens that an issuer may begin with, once in a window. */
+    /** Tokens with which an issuer may start, once per window. */
     readonly credit: number,
-    /** A token counts for so long from the question for it; milliseconds. */
+    /** How long a token is valid from the request for it, in milliseconds. */
     readonly lifetimeMs: number
   ) {}
 
   /**
-   * In any span tokens are issued at most for depth + credit + rate x span, and used at most a lifetime later: in a window no more than
-   * rate x window + burst + tolerance run, whatever part of them is used late.
+   * Divides an allowance. In any span at most depth + credit + rate x span tokens are issued, and each is used at most one lifetime
+   * later, so that at most rate x window + burst + tolerance operations run in a window.
    */
   static of ({ perSecond, burst }: Rate, { windowMs, overage, slack }: AllowanceBounds): Shard {
     const tolerance = overage * (perSecond * windowMs / 1000 + burst) + slack
@@ -47,7 +47,7 @@
     return new Shard(count, perSecond / 1000 / count, depth / count, tolerance * CREDIT_SHARE / count, lifetimeMs)
   }
 
-  /** Which of the places issue the team's shards. */
+  /** The places that issue the team's shards. */
   placesOf (team: string, places: number): readonly number[] {
     return Array.from({ length: places }, (_, place) => place)
       .map(place => ({ place, weight: weightOf(`${team}/${place}`) }))
--- a/src/core/allowance/teamtokens.ts
+++ b/src/core/allowance/teamtokens.ts
@@ -1,4 +1,4 @@
-/** The tokens that this host holds for one team, and where it asks for more. */
+/** The tokens that this host holds for one team, and where to request more. */
 
 import type { Instant } from '../id/instant.ts'
 import type { IssuerBackOff } from './issuerbackoff.ts'
@@ -12,26 +12,26 @@
   readonly count: number
   /** Milliseconds until the place has another token. */
   readonly nextMs: number
-  /** When this host asked, and for how long a token counts from then. */
+  /** When this host sent the request, and how long a token is valid from then. */
   readonly askedAt: Instant
   readonly lifetimeMs: number
 }
 
 type Next =
   | { readonly kind: 'ask', readonly place: number, readonly count: number }
-  /** Nothing can be had now: every place said so, or didn't answer. `ms`: until the first has a token, or is tried again; `isSilent`: that one didn't answer. */
+  /** No place can issue a token now. `ms`: until one has a token or may be asked again; `isSilent`: none of them answered. */
   | { readonly kind: 'none', readonly ms: number, readonly isSilent: boolean }
 
-/** Where it isn't known who issues, that is looked at again after so long. */
+/** How soon to look again when the issuers aren't known. */
 const UNKNOWN_ISSUER_RETRY_MS = 100
-/** The most that is asked for at once: a burst of a large team on one host. */
+/** Maximum number of tokens in one request; the burst of a large team on one host. */
 const MAX_REQUESTED_TOKENS = 64
-/** What a team used lately is forgotten with this time; about what a wave of callers lasts. */
+/** Time constant of the moving average of a team's usage. */
 const USAGE_DECAY_MS = 1000
-/** Tokens are fetched ahead for this part of their lifetime: the answer takes a part of it, and what isn't used then lapses. */
+/** Tokens are prefetched for this part of their lifetime; the answer takes time, and unused tokens expire. */
 const PREFETCH_LIFETIME_SHARE = 0.5
 
-/** Changes in place: it's touched by every operation. `now` is of the clock that counts suspension, so that a host that wakes holds nothing. */
+/** Mutable: every operation updates it. `now` is of the clock that counts suspension, so that a host holds no tokens after one. */
 export class TeamTokens {
   private batches: TokenBatch[] = []
   private readonly emptyUntil = new Map<number, Instant>()
@@ -53,16 +53,16 @@
     this.places = places
   }
 
-  /** Takes one token; until when it counts, or undefined without one. */
+  /** Takes one token. Returns until when it's valid, or undefined if there is none. */
   take (now: Instant): Instant | undefined {
     this.recordUse(now)
-    const lot = this.batches.find(({ left, until }) => left > 0 && until > now)
-    if (lot === undefined) return undefined
-    lot.left--
-    return lot.until
+    const batch = this.batches.find(({ left, until }) => left > 0 && until > now)
+    if (batch === undefined) return undefined
+    batch.left--
+    return batch.until
   }
 
-  /** What was taken for an operation that didn't run. */
+  /** Returns the token of an operation that didn't run. */
   putBack (until: Instant): void {
     this.batches.push({ until, left: 1 })
   }
@@ -72,12 +72,12 @@
     return this.batches.reduce((sum, { left }) => sum + left, 0)
   }
 
-  /** How many are worth having in hand. */
+  /** Number of tokens to hold, by recent usage. */
   prefetchCount (lifetimeMs: number, now: Instant): number {
     return Math.floor(this.decayedUse(now) / USAGE_DECAY_MS * lifetimeMs * PREFETCH_LIFETIME_SHARE)
   }
 
-  /** Where to ask, for those that wait and what will be used soon. */
+  /** Where to request tokens for waiting operations and expected usage. */
   next (waiting: number, lifetimeMs: number, now: Instant): Next {
     const count = Math.min(MAX_REQUESTED_TOKENS, Math.max(waiting, this.prefetchCount(lifetimeMs, now) - this.left(now)))
     for (let i = 0; i < this.places.length; i++) {
@@ -88,7 +88,7 @@
     }
     if (this.places.length === 0) return { kind: 'none', ms: UNKNOWN_ISSUER_RETRY_MS, isSilent: true }
     const soonest = Math.min(...this.places.map(place => Math.max(this.emptyUntil.get(place) ?? now, this.silence.until(place, now) ?? now)))
-    // With one that answered it's known when there is a token; with none, nothing is.
+    // If any issuer answered, it's known when there is a token; otherwise nothing is.
     return { kind: 'none', ms: Math.max(0, soonest - now), isSilent: this.places.every(place => this.silence.until(place, now) !== undefined) }
   }
 
--- a/src/core/allowance/tokenbucket.ts
+++ b/src/core/allowance/tokenbucket.ts
@@ -1,35 +1,38 @@
-/** The tokens of one shard that can be issued. */
+/** The token bucket of one shard. */
 
 import type { Instant } from '../id/instant.ts'
 import type { Shard } from './shard.ts'
 
-/** Immutable. A token stands for one operation. Instants are of the monotonic clock: one that leaps over a suspension would fill the bucket at once. */
+/**
+ * Immutable. A token permits one operation. Instants are of the monotonic clock: a clock that counts suspension would fill the bucket at
+ * once after one.
+ */
 export class TokenBucket {
   private constructor (private readonly shard: Shard, private readonly level: number, private readonly at: Instant) {}
 
-  /** Empty at the moment, and filled since. */
+  /** A bucket that was empty at the instant and has been filling since. */
   static since (at: Instant, shard: Shard): TokenBucket {
     return new TokenBucket(shard, 0, at)
   }
 
-  /** With so many tokens more, as far as there is room. */
+  /** This bucket with tokens added, up to its depth. */
   withTokens (tokens: number, now: Instant): TokenBucket {
     return new TokenBucket(this.shard, Math.min(this.shard.depth, this.levelAt(now) + tokens), now)
   }
 
-  /** Under other limits from now on. What gathered stays, as far as it may. */
+  /** This bucket with the limits of another shard from now on; it keeps its tokens up to the new depth. */
   withShard (shard: Shard, now: Instant): TokenBucket {
     return new TokenBucket(shard, Math.min(this.levelAt(now), shard.depth), now)
   }
 
-  /** Takes whole tokens, as many as there are and no more than are wanted. */
+  /** Takes up to `wanted` whole tokens. */
   take (wanted: number, now: Instant): { readonly next: TokenBucket, readonly taken: number } {
     const level = this.levelAt(now)
     const taken = Math.max(0, Math.min(wanted, Math.floor(level)))
     return { next: new TokenBucket(this.shard, level - taken, now), taken }
   }
 
-  /** Milliseconds until there is a whole token; infinite where none ever comes. */
+  /** Milliseconds until there is a whole token; `Infinity` if there never will be. */
   nextMs (now: Instant): number {
     const missing = 1 - this.levelAt(now)
     if (missing <= 0) return 0
--- a/src/core/allowance/tokenissuer.ts
+++ b/src/core/allowance/tokenissuer.ts
@@ -1,4 +1,4 @@
-/** Issues tokens at the places that are this host's. */
+/** Issues tokens at the places that this host holds. */
 
 import type { TeamId } from '../id/team.ts'
 import type { Instant } from '../id/instant.ts'
@@ -16,7 +16,7 @@
 
 interface IssueResult {
   readonly count: number
-  /** Milliseconds until there is another token; 0 when there is one now. */
+  /** Milliseconds until there is another token; 0 if there is one now. */
   readonly nextMs: number
 }
 
@@ -26,10 +26,10 @@
   readonly since: Instant
 }
 
-/** Changes in place: it's touched by every question, and holds a bucket for each team that asked. */
+/** Mutable: every request updates it, and it holds a bucket for each team that has asked. */
 export class TokenIssuer {
   private readonly kept = new Map<string, BucketEntry>()
-  /** Places at which buckets begin with their credit, and since when this host issues there. */
+  /** Places whose buckets start with their credit, and since when this host issues there. */
   private readonly credited = new Map<number, Instant>()
 
   private constructor () {}
@@ -38,7 +38,7 @@
     return new TokenIssuer()
   }
 
-  /** Buckets of the place began with their credit. */
+  /** Adds their credit to the buckets of the place, present and future. */
   credit (place: number, since: Instant, now: Instant): void {
     this.credited.set(place, since)
     for (const [key, kept] of this.kept) {
@@ -53,7 +53,7 @@
     return { count: taken, nextMs: next.nextMs(now) }
   }
 
-  /** A team that didn't ask yet got nothing since this host issues, so its bucket has been filling since. */
+  /** The bucket of a team that hasn't asked before has been filling since this host began to issue. */
   private bucketOf (key: string, place: number, shard: Shard, since: Instant, now: Instant): TokenBucket {
     const kept = this.kept.get(key)
     if (kept === undefined || kept.since !== since) {
--- a/src/core/config/change.test.ts
+++ b/src/core/config/change.test.ts
@@ -1,4 +1,4 @@
-/** Patches applied to a configuration, and those that are refused. */
+/** Guards against patches that change more or less than they say. */
 
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
@@ -28,10 +28,10 @@
 
   it('refuses to remove what is not there', () => {
     expect(Change.of({ groups: [{ id: 'none', remove: true }] }).apply(base)._unsafeUnwrapErr())
-      .toBe("groups.none: isn't there to be removed; leave it out")
+      .toBe('groups.none: does not exist; leave its removal out')
   })
 
-  it('between two documents leads from one to the other', () => {
+  it('between two documents turns one into the other', () => {
     const name = fc.constantFrom('a', 'b', 'c')
     const entry = fc.record({ id: name, size: fc.nat(3), list: fc.array(fc.nat(3), { maxLength: 2 }) }, { requiredKeys: ['id'] })
     const nested = fc.record({ id: name, inner: fc.uniqueArray(entry, { selector: one => one.id }) }, { requiredKeys: ['id'] })
--- a/src/core/config/change.ts
+++ b/src/core/config/change.ts
@@ -1,11 +1,10 @@
 /**
- * The changed parts of a configuration document. A change has the document's
- * own form with everything left out that stays as it is:
+ * The changed parts of a configuration document. A change has the form of the document, without the parts that stay as they are:
  *
  * - an object is merged key by key, and `null` removes a key;
- * - a list of entries with an `id` (or `name`) is merged entry by entry: a known
- *   one is merged, an unknown one added, and `remove: true` removes it;
- * - an empty list clears; anything else replaces what was there.
+ * - a list of entries with an `id` (or `name`) is merged entry by entry: a known entry is merged, an unknown one added, and
+ *   `remove: true` removes it;
+ * - an empty list clears; anything else replaces the old value.
  */
 
 import { err, ok, type Result } from 'neverthrow'
@@ -14,7 +13,7 @@
 
 type Fields = Readonly<Record<string, Json>>
 
-/** Leads from one document to the next; small where the documents are large. */
+/** A change from one document to the next; small even if the documents are large. */
 export class Change {
   private constructor (readonly json: Json) {}
 
@@ -22,12 +21,12 @@
     return new Change(json)
   }
 
-  /** The change that leads from `before` to `after`, but for the order of named entries. */
+  /** The change from `before` to `after`, except for the order of named entries. */
   static between (before: Json, after: Json): Change {
     return new Change(valueBetween(before, after) ?? {})
   }
 
-  /** The document after the change, or one line that names what can't be applied and the remedy. */
+  /** Returns the changed document, or one line that names what can't be applied and the remedy. */
   apply (document: Json): Result<Json, string> {
     const problems: string[] = []
     const merged = merge(document, this.json, '', problems)
@@ -60,13 +59,13 @@
       after.set(name, known === undefined ? entry : mergeFields(known, entry, join(path, name), problems))
       continue
     }
-    if (known === undefined) problems.push(`${join(path, name)}: isn't there to be removed; leave it out`)
+    if (known === undefined) problems.push(`${join(path, name)}: does not exist; leave its removal out`)
     after.delete(name)
   }
   return [...after.values()]
 }
 
-/** Undefined when nothing changes. */
+/** Undefined if nothing changes. */
 function valueBetween (before: Json | undefined, after: Json): Json | undefined {
   if (before === undefined) return after
   const [old, next] = [NamedEntries.of(before), NamedEntries.of(after)]
--- a/src/core/config/config.ts
+++ b/src/core/config/config.ts
@@ -1,4 +1,4 @@
-/** The numbered configuration: what operators change while the system runs. */
+/** The versioned configuration, which operators change while the system runs. */
 
 import type { ServiceLevel } from '../burn/servicelevel.ts'
 import type { CallerId } from '../id/caller.ts'
@@ -14,13 +14,13 @@
   /** `ip:port` of the database server. */
   readonly address: string
   readonly dataCentre: DataCentreId
-  /** Whether the endpoint is to be left: a primary is handed over, a replica gets nothing new. */
+  /** Whether the endpoint is being removed: a primary is handed over, a replica gets no new work. */
   readonly leaving: boolean
 }
 
 interface DatabaseGroup {
   readonly id: GroupId
-  /** The schema that callers and endpoints name. */
+  /** The database name that callers and endpoints use. */
   readonly database: string
   readonly endpoints: readonly Endpoint[]
   readonly slotsPerEndpoint: number
@@ -44,11 +44,11 @@
   readonly callers: readonly Caller[]
   /** The kinds of read that callers may name. */
   readonly kinds: readonly ReadKind[]
-  /** What holds for a read that names no kind. */
+  /** The freshness of reads that name no kind. */
   readonly freshness: Freshness
 }
 
-/** One accepted configuration. Immutable; the next one has a higher version. */
+/** An accepted configuration. Immutable; the next one has a higher version. */
 export interface Config {
   readonly version: ConfigVersion
   readonly groups: readonly DatabaseGroup[]
--- a/src/core/config/configholder.ts
+++ b/src/core/config/configholder.ts
@@ -1,11 +1,9 @@
 /**
  * The configuration in force in one process, and the only way to replace it.
  *
- * Guard against a configuration that reverts: a stale peer, a message that
- * was on its way for long, or a process that was paused and wakes up may all
- * offer an old version at any time. Only a higher one is taken, whoever offers
- * it, and versions are created once and never rewritten, so every process
- * passes through versions in one order.
+ * A stale peer, a delayed message or a process that resumes after a pause may offer an old version at any time. Only higher versions are
+ * accepted, whoever offers them, and versions are never rewritten, so the configuration never reverts and every process passes
+ * through versions in the same order.
  */
 
 import { err, ok, type Result } from 'neverthrow'
@@ -17,8 +15,8 @@
 import { parseConfig } from './document.ts'
 
 /**
- * - `old`: not higher than what is in force.
- * - `gap`: a change to a version that this process doesn't have; the whole is needed.
+ * - `old`: not higher than the version in force.
+ * - `gap`: a change from a version that this process doesn't have; it needs the whole document.
  * - `invalid`: this program can't read it; `problem` says why.
  */
 type Refusal = { readonly kind: 'old' } | { readonly kind: 'gap' } | { readonly kind: 'invalid', readonly problem: string }
@@ -26,13 +24,13 @@
 interface Held {
   readonly config: Config
   readonly document: Json
-  /** What led here from the version before, for peers that have that one. */
+  /** The change from the previous version, for peers that have that one. */
   readonly change: Json | undefined
 }
 
 const NONE = 0 as ConfigVersion
 
-/** Immutable; `offer` yields the next holder. */
+/** Immutable; `offer` returns the next holder. */
 export class ConfigHolder {
   private constructor (private readonly held: Held | undefined) {}
 
@@ -46,7 +44,7 @@
     return this.held?.config.version ?? NONE
   }
 
-  /** Whether it knows the change that led here from the version before. */
+  /** Whether the change from the previous version is known. */
   get hasChange (): boolean {
     return this.held?.change !== undefined
   }
@@ -60,7 +58,7 @@
       .mapErr(problem => ({ kind: 'invalid', problem }))
   }
 
-  /** What to send a host that has `base`: the change when it has the version before, else the whole. */
+  /** What to send to a host at version `base`: the change if that's the previous version, otherwise the whole document. */
   candidateFor (base: ConfigVersion): ConfigCandidate | undefined {
     if (this.held === undefined) return undefined
     const { config: { version }, document, change } = this.held
--- a/src/core/config/configrecord.ts
+++ b/src/core/config/configrecord.ts
@@ -1,27 +1,27 @@
-/** What the table service keeps of an accepted version. */
+/** The record of an accepted version in the table service. */
 
 import { err, ok, type Result } from 'neverthrow'
 import * as z from 'zod'
 
 const shape = z.object({
-  /** The patch's id, by which a lost answer is settled. */
+  /** The patch's id, which tells whether it was accepted when the answer is lost. */
   id: z.string(),
-  /** Tells whether a command that comes again with the same id carries the same patch. */
+  /** Digest that tells whether a command repeated with the same id carries the same patch. */
   digest: z.string(),
   by: z.string(),
   why: z.string(),
-  /** Milliseconds since 1970 on the operator's clock; for people only. */
+  /** Milliseconds since 1970 by the operator's clock; for display only. */
   at: z.number(),
-  /** The whole document as JSON; absent when it's too large for a row. */
+  /** The whole document as JSON; absent if it's too large for a row. */
   document: z.string().optional(),
   /** The key of the whole document in the object store. */
   object: z.string().optional()
 })
 
-/** Immutable, as the row that holds it is created once and never replaced. */
+/** Immutable: the row is created once and never replaced. */
 type ConfigRecord = Readonly<z.output<typeof shape>>
 
-/** The record in the body of a row; an error when another program wrote the row. */
+/** Parses the body of a row; an error if another program wrote it. */
 export function parseConfigRecord (body: string): Result<ConfigRecord, string> {
   const parsed = z.string().transform((text, context) => {
     try {
--- a/src/core/config/configstartup.ts
+++ b/src/core/config/configstartup.ts
@@ -1,12 +1,9 @@
 /**
- * Whether a process that starts may put a version in force, and why it isn't
- * ready before.
+ * Decides when a starting process may apply a configuration, and why it isn't ready before.
  *
- * Guard against a configuration that reverts over a restart: with the store
- * down the first peer to answer may be one that was cut off and is behind the
- * version that this host ran before. So a peer's version counts only when the
- * store has answered, when all hosts of the list have said what they have, or
- * when they had `GRACE_MS` to do so: some of the list may be dead.
+ * With the store down, the first peer that answers may be behind the version that this host had before its restart, and the configuration
+ * would revert. So a peer's version is accepted only once the store has answered, all listed hosts have reported their versions, or
+ * `PEER_GRACE_MS` have passed, since some of the hosts may be down.
  */
 
 import type { HostId } from '../id/host.ts'
@@ -17,14 +14,14 @@
   readonly startedAt: Instant
   readonly isStoreRead: boolean
   readonly storeProblem: string
-  /** The other hosts of the list, and what each said that it has. */
+  /** The other hosts of the list, and the version that each reported. */
   readonly peers: readonly HostId[]
   readonly answers: ReadonlyMap<HostId, ConfigVersion>
 }
 
 const PEER_GRACE_MS = 1500
 
-/** Immutable; the methods yield the next state. */
+/** Immutable; the methods return the next state. */
 export class ConfigStartup {
   private constructor (private readonly fields: Fields) {}
 
@@ -48,10 +45,10 @@
     return new ConfigStartup({ ...this.fields, answers: new Map([...this.fields.answers, [host, version]]) })
   }
 
-  /** Whether a version that a peer offered may be put in force. */
+  /** Whether a version that a peer offered may be applied. */
   canTake (version: ConfigVersion, now: Instant): boolean {
-    const { startedAt: began, isStoreRead, peers, answers } = this.fields
-    if (isStoreRead || now - began >= PEER_GRACE_MS) return true
+    const { startedAt, isStoreRead, peers, answers } = this.fields
+    if (isStoreRead || now - startedAt >= PEER_GRACE_MS) return true
     const isAnswered = peers.length > 0 && peers.every(host => answers.has(host))
     return isAnswered && [...answers.values()].every(other => other <= version)
   }
--- a/src/core/config/difference.ts
+++ b/src/core/config/difference.ts
@@ -1,21 +1,21 @@
-/** What differs between two configuration documents, for people. */
+/** The differences between two configuration documents, for display. */
 
 import type { Json } from '../json.ts'
 import { NamedEntries } from './namedentries.ts'
 
 interface Line {
-  /** Where, by the names of the entries: `groups.shop.connectionsPerSlot`. */
+  /** Path of entry names: `groups.shop.connectionsPerSlot`. */
   readonly path: string
-  /** Undefined: added. */
+  /** Undefined if it was added. */
   readonly before: Json | undefined
-  /** Undefined: removed. */
+  /** Undefined if it was removed. */
   readonly after: Json | undefined
 }
 
-/** Passwords' hashes are shown as changed, never as they are. */
+/** Password hashes are shown as changed, without their values. */
 const SECRET = /passwordHash"?:"[^"]*"/g
 
-/** All differences, in the order of the documents. */
+/** All differences, in document order. */
 export class Difference {
   private constructor (readonly lines: readonly Line[]) {}
 
@@ -23,7 +23,7 @@
     return new Difference(linesBetween(before, after, ''))
   }
 
-  /** One line a difference: `+` added, `-` removed, `~` changed. */
+  /** One line per difference: `+` added, `-` removed, `~` changed. */
   toString (): string {
     return this.lines.map(format).join('\n')
   }
@@ -38,7 +38,7 @@
   return [...keys].flatMap(key => linesBetween(old.get(key), next.get(key), path === '' ? key : `${path}.${key}`))
 }
 
-/** An object's fields or a list's named entries; undefined for what has no parts. */
+/** An object's fields or a list's named entries; undefined for values without parts. */
 function fieldsOf (value: Json | undefined): ReadonlyMap<string, Json> | undefined {
   const entries = NamedEntries.of(value)
   if (entries !== undefined) return new Map(entries.names.map(name => [name, entries.get(name)!]))
--- a/src/core/config/document.test.ts
+++ b/src/core/config/document.test.ts
@@ -1,4 +1,4 @@
-/** Which configuration documents are accepted, and what the others are told. */
+/** Guards against accepting invalid configuration documents and against errors without a remedy. */
 
 import { describe, expect, it } from 'vitest'
 import type { ConfigVersion } from '../id/version.ts'
--- a/src/core/config/document.ts
+++ b/src/core/config/document.ts
@@ -1,4 +1,4 @@
-/** The configuration as operators write it, checked and turned into a `Config`. */
+/** Validates configuration documents, as operators write them, and turns them into a `Config`. */
 
 import { err, ok, type Result } from 'neverthrow'
 import * as z from 'zod'
@@ -54,7 +54,7 @@
 
 type Document = z.output<typeof shape>
 
-/** The checked configuration, or one line that says where it's wrong and what to write instead. */
+/** Returns the validated configuration, or one line that says where it's wrong and what to write instead. */
 export function parseConfig (version: ConfigVersion, document: unknown): Result<Config, string> {
   const parsed = shape.safeParse(document)
   if (!parsed.success) return err(describeIssues(parsed.error.issues, document, KEYS_REFERENCE))
@@ -66,15 +66,15 @@
 function findUnknownReference ({ groups, pools, serviceLevels }: Document): string | undefined {
   const known = new Set(groups.map(group => group.id))
   for (const pool of pools) {
-    const stray = pool.groups.find(id => !known.has(id))
-    if (stray !== undefined) return `pools.${pool.id}.groups: "${stray}" isn't a group; add it to groups or remove it here`
+    const unknownId = pool.groups.find(id => !known.has(id))
+    if (unknownId !== undefined) return `pools.${pool.id}.groups: "${unknownId}" isn't a group; add it to groups or remove it here`
   }
   const level = serviceLevels.find(one => !pools.some(pool => pool.id === one.pool))
   if (level !== undefined) return `serviceLevels.${level.name}.pool: "${level.pool}" isn't a pool; name one of the pools`
   return undefined
 }
 
-/** Ids are unique over the whole document; an endpoint's connections are counted by its address, a caller logs in by its id alone. */
+/** Ids are unique in the whole document, and so are endpoint addresses, by which connections are counted. A caller logs in by its id alone. */
 function findDuplicateName ({ groups, pools, serviceLevels }: Document): string | undefined {
   const endpoints = groups.flatMap(group => group.endpoints)
   const lists: ReadonlyArray<readonly [string, readonly string[]]> = [
@@ -86,13 +86,13 @@
     ['serviceLevels', serviceLevels.map(level => level.name)]
   ]
   for (const [kind, names] of lists) {
-    const twice = findDuplicate(names)
-    if (twice !== undefined) return `${kind}: "${twice}" comes twice; rename or remove one`
+    const duplicate = findDuplicate(names)
+    if (duplicate !== undefined) return `${kind}: "${duplicate}" comes twice; rename or remove one`
   }
   return undefined
 }
 
-/** A caller names a database and a kind; each must mean one thing in its pool. */
+/** Each database and kind that callers name must be unique in its pool. */
 function findDuplicateInPool ({ groups, pools }: Document): string | undefined {
   const database = new Map(groups.map(group => [group.id, group.database]))
   for (const pool of pools) {
--- a/src/core/config/namedentries.ts
+++ b/src/core/config/namedentries.ts
@@ -1,13 +1,13 @@
-/** Lists of a document whose entries have a name of their own, so that a change can address one of them. */
+/** Lists of a document whose entries have names, so that a change can refer to one of them. */
 
 import type { Json } from '../json.ts'
 
 type Entry = Readonly<Record<string, Json>>
 
-/** What an entry may be addressed by, the first that all entries have. */
+/** Properties that may name an entry; the first one that all entries have is used. */
 const KEYS = ['id', 'name'] as const
 
-/** A list of objects under their ids (or names), in order. */
+/** A list of objects by their ids (or names), in order. */
 export class NamedEntries {
   private constructor (
     /** The property that names an entry. */
@@ -15,7 +15,7 @@
     private readonly entries: ReadonlyMap<string, Entry>
   ) {}
 
-  /** Undefined when the value isn't a list of named objects, or two entries share a name. */
+  /** Undefined if the value isn't a list of named objects, or two entries share a name. */
   static of (value: Json | undefined): NamedEntries | undefined {
     if (!Array.isArray(value) || value.length === 0) return undefined
     const list = value as readonly Json[]
--- a/src/core/config/polldelay.ts
+++ b/src/core/config/polldelay.ts
@@ -1,9 +1,8 @@
 /**
- * How often a host asks the store for the newest version. A few hosts poll for
- * all; the others ask rarely, in case they are told nothing.
+ * How often a host polls the store for the newest version. A few hosts poll on behalf of all; the others poll rarely, in case they miss a
+ * notification.
  *
- * Guard against a store that comes back from an outage under the polls of all
- * hosts together: whoever isn't a poller backs off, and chance spreads them.
+ * Hosts that aren't pollers back off at random, so that a store that recovers from an outage isn't overloaded by all hosts.
  */
 
 const POLLER_MS = 500
@@ -14,11 +13,11 @@
 interface Situation {
   readonly isPoller: boolean
   readonly hasConfig: boolean
-  /** Polls in a row that were not answered, or answered with nothing. */
+  /** Consecutive polls that failed or returned nothing. */
   readonly misses: number
 }
 
-/** Milliseconds until the next poll; `chance` is a number in [0, 1). */
+/** Milliseconds until the next poll; `chance` is a random number in [0, 1). */
 export function pollDelayMs ({ isPoller, hasConfig, misses }: Situation, chance: number): number {
   const doubled = POLLER_MS * 2 ** Math.min(misses, 10)
   if (isPoller) return Math.min(doubled, MAX_POLLER_MS)
--- a/src/core/config/servicelevels.test.ts
+++ b/src/core/config/servicelevels.test.ts
@@ -1,4 +1,4 @@
-/** The section of service levels in a configuration document. */
+/** Guards against invalid service levels in a configuration document. */
 
 import { describe, expect, it } from 'vitest'
 import type { ConfigVersion } from '../id/version.ts'
@@ -9,7 +9,7 @@
   parseConfig(1 as ConfigVersion, { groups: [], pools: [{ id: 'main', groups: [], callers: [] }], serviceLevels })
 
 describe('serviceLevels of a configuration', () => {
-  it('are read, and may be absent', () => {
+  it('are parsed, and may be absent', () => {
     expect(parse(level)._unsafeUnwrap().serviceLevels).toEqual([{ name: 'urgent', pool: 'main', measure: 'urgentInTime', target: 0.999, withinMs: 250 }])
     expect(parseConfig(1 as ConfigVersion, { groups: [], pools: [] })._unsafeUnwrap().serviceLevels).toEqual([])
   })
--- a/src/core/config/servicelevels.ts
+++ b/src/core/config/servicelevels.ts
@@ -1,4 +1,4 @@
-/** The section of a configuration that sets the service levels of its pools. */
+/** The section of a configuration that defines the service levels of its pools. */
 
 import * as z from 'zod'
 import { parseDuration } from '../settings/duration.ts'
--- a/src/core/request/alwaysretry.ts
+++ b/src/core/request/alwaysretry.ts
@@ -1,4 +1,4 @@
-/** The budget that refuses no retry. */
+/** A retry budget without a limit. */
 
 import type { RetryBudget } from './retrybudget.ts'
 
--- a/src/core/request/attempts.test.ts
+++ b/src/core/request/attempts.test.ts
@@ -1,4 +1,4 @@
-/** The attempts of a request: what is tried again and what callers are told. */
+/** Guards against harmful retries and against a false "not run". */
 
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
@@ -22,7 +22,7 @@
 const answered = (outcome: Outcome, reason?: ReasonName, attempt = 1): AttemptsEvent => ({ kind: 'answered', attempt, outcome, reason })
 const routed: AttemptsEvent = { kind: 'routed', endpoint }
 
-/** Feeds events at instant 0 and yields the actions of the last one, in short. */
+/** Feeds events at instant 0 and returns a summary of the last one's actions. */
 function last (of: RequestSpec, ...events: readonly AttemptsEvent[]): string {
   let attempts = Attempts.create(of, alwaysRetry)
   let actions: readonly AttemptsAction[] = []
@@ -32,27 +32,27 @@
 
 describe('Attempts', () => {
   it.each<[string, string, RequestSpec, AttemptsEvent[]]>([
-    ['a normal write learns of a failover at once', 'refuse noPrimary', spec(), [{ kind: 'unroutable', reason: 'noPrimary' }]],
+    ['a normal write is refused at once during a failover', 'refuse noPrimary', spec(), [{ kind: 'unroutable', reason: 'noPrimary' }]],
     ['a normal write waits while its group is not sampled yet', 'wait', spec(), [{ kind: 'unroutable', reason: 'notSampled' }]],
     ['an urgent write waits for the new primary', 'wait', spec({ waitsForPrimary: true }), [{ kind: 'unroutable', reason: 'noPrimary' }]],
     ['a normal write that was refused by a replaced primary', 'answer', spec(), [routed, answered('notRun', 'replaced')]],
     ['an urgent write that was refused by a replaced primary', 'wait', spec({ waitsForPrimary: true }), [routed, answered('notRun', 'replaced')]],
-    ['a write whose slot owner is gone finds another', 'wait', spec(), [routed, answered('notRun', 'noSlotOwner')]],
-    ['a write whose answer was lost is never tried again', 'answer', spec({ waitsForPrimary: true }), [routed, answered('unknown', 'lost')]],
-    ['a read whose answer was lost is', 'wait', spec({ isRead: true }), [routed, answered('unknown', 'lost')]],
-    ['but not once rows were passed on', 'answer', spec({ isRead: true }), [routed, { kind: 'rows', attempt: 1 }, answered('unknown', 'lost')]],
-    ['a request with a key is tried again under it', 'wait', spec({ hasIdempotencyKey: true }), [routed, answered('unknown', 'lost')]],
+    ['a write whose slot owner is gone is routed to another', 'wait', spec(), [routed, answered('notRun', 'noSlotOwner')]],
+    ['a write whose answer was lost is never retried', 'answer', spec({ waitsForPrimary: true }), [routed, answered('unknown', 'lost')]],
+    ['a read whose answer was lost is retried', 'wait', spec({ isRead: true }), [routed, answered('unknown', 'lost')]],
+    ['a read is not retried once rows were passed on', 'answer', spec({ isRead: true }), [routed, { kind: 'rows', attempt: 1 }, answered('unknown', 'lost')]],
+    ['a request with an idempotency key is retried under it', 'wait', spec({ hasIdempotencyKey: true }), [routed, answered('unknown', 'lost')]],
     ['a statement of a lost transaction', 'refuse lostTransaction', spec({ place: 'inside' }), [routed, answered('unknown', 'lost')]],
     ['a procedure of a lost transaction', 'answer', spec({ place: 'inside', mayCommitImplicitly: true }), [routed, answered('unknown', 'lost')]],
     ['a lost COMMIT is unknown', 'answer', spec({ place: 'commit' }), [routed, answered('unknown', 'lost')]],
-    ['a statement of a transaction is never tried again', 'answer', spec({ place: 'inside', waitsForPrimary: true }), [routed, answered('notRun', 'noSlotOwner')]],
-    ['a caller that left takes its attempt with it', 'cancel, refuse lost', spec(), [routed, { kind: 'left' }]],
-    ['an answer to an attempt that was given up changes nothing', '', spec({ isRead: true }), [routed, answered('unknown', 'lost'), { kind: 'resumed' }, routed, answered('done')]]
+    ['a statement of a transaction is never retried', 'answer', spec({ place: 'inside', waitsForPrimary: true }), [routed, answered('notRun', 'noSlotOwner')]],
+    ['the attempt of a caller that disconnected is cancelled', 'cancel, refuse lost', spec(), [routed, { kind: 'left' }]],
+    ['an answer to an abandoned attempt is ignored', '', spec({ isRead: true }), [routed, answered('unknown', 'lost'), { kind: 'resumed' }, routed, answered('done')]]
   ])('%s: %s', (_, expected, of, events) => {
     expect(last(of, ...events)).toBe(expected)
   })
 
-  it.each<[number, string]>([[999, ''], [1000, ''], [1250, 'cancel,refuse']])('gives a silent slot owner up at %i: %s', (now, expected) => {
+  it.each<[number, string]>([[999, ''], [1000, ''], [1250, 'cancel,refuse']])('cancels an unanswered attempt after the grace period, at %i: %s', (now, expected) => {
     const { attempts } = Attempts.create(spec(), alwaysRetry).step({ kind: 'start' }, 0 as Instant)
     const sent = attempts.step(routed, 0 as Instant).attempts
     expect(sent.step({ kind: 'tick' }, now as Instant).actions.map(action => action.kind).join()).toBe(expected)
@@ -64,14 +64,13 @@
     expect(sent.step(answered('notRun', 'unreachable'), 0 as Instant).actions[0]?.kind).toBe('answer')
   })
 
-  // A caller is told "not run", runs the kit issue again, and reels are counted twice. A first
-  // try was written to a connection that broke; a second one was refused for sure, and only the
-  // second one's end was told. Whatever the order of events, "not run" must hold for all tries.
+  // A first try may have run although a second one surely didn't. If "not run" were reported for both, the caller would run the statement
+  // again and apply it twice. In any order of events "not run" must hold for all tries.
   it('says "not run" or "failed" only when no attempt ran, and ends once', () => {
     fc.assert(fc.property(specs, fc.array(events, { maxLength: 40 }), (of, script) => {
-      const world = new World(of)
-      for (const event of script) world.hear(event)
-      expect(world.problems).toEqual([])
+      const simulation = new Simulation(of)
+      for (const event of script) simulation.handle(event)
+      expect(simulation.problems).toEqual([])
     }), { seed: SEED, numRuns: 20_000 })
   })
 })
@@ -95,15 +94,15 @@
   ms: fc.constantFrom(0, 0, 0, 0, 20, 300, 1000)
 })
 
-/** The shell's and the endpoint's side: which attempts had an effect, and what the caller was told. */
-class World {
+/** Simulates the shell and the endpoint: which attempts had an effect, and which outcome was reported. */
+class Simulation {
   readonly problems: string[] = []
   private attempts: Attempts
   private due: AttemptsAction | undefined
   private now = 0
   private ran = 0
-  private told = 0
-  private toldNotRun = false
+  private reportCount = 0
+  private hasReportedNotRun = false
   private lastOutcome: Outcome = 'notRun'
 
   constructor (private readonly of: RequestSpec) {
@@ -111,7 +110,7 @@
     this.step({ kind: 'start' })
   }
 
-  hear (event: typeof events extends fc.Arbitrary<infer T> ? T : never): void {
+  handle (event: typeof events extends fc.Arbitrary<infer T> ? T : never): void {
     this.now += event.ms
     if (event.kind === 'tick' || event.kind === 'left') return this.abandon(event.kind, event.isRunning)
     const { due } = this
@@ -127,18 +126,18 @@
   private answer (attempt: number, outcome: Outcome, reason: ReasonName, isRunning: boolean): void {
     if (reason === 'voided' && this.ran > 0) return
     const isProved = reasons[reason].provesNotRun
-    const true_ = outcome === 'unknown' && isProved ? 'notRun' : outcome === 'notRun' && !isProved ? 'unknown' : outcome
-    if (true_ === 'done' || (true_ === 'unknown' && isRunning && this.canCommit)) this.ran++
-    this.lastOutcome = true_
-    this.step({ kind: 'answered', attempt, outcome: true_, reason: true_ === 'done' || true_ === 'failed' ? undefined : reason })
+    const actual = outcome === 'unknown' && isProved ? 'notRun' : outcome === 'notRun' && !isProved ? 'unknown' : outcome
+    if (actual === 'done' || (actual === 'unknown' && isRunning && this.canCommit)) this.ran++
+    this.lastOutcome = actual
+    this.step({ kind: 'answered', attempt, outcome: actual, reason: actual === 'done' || actual === 'failed' ? undefined : reason })
   }
 
-  /** What is given up while it's under way may run all the same. */
+  /** An attempt that is abandoned while in progress may still run. */
   private abandon (kind: 'tick' | 'left', isRunning: boolean): void {
     const { due } = this
     this.step({ kind })
     const runsLater = due?.kind === 'send' && this.due === undefined && isRunning && this.canCommit
-    if (runsLater && this.toldNotRun) this.problems.push('told "not run" of what ran later')
+    if (runsLater && this.hasReportedNotRun) this.problems.push('reported "not run", but it ran later')
   }
 
   private get canCommit (): boolean {
@@ -153,16 +152,16 @@
   }
 
   private take (action: AttemptsAction, ran: number): void {
-    const { isRead, hasIdempotencyKey: isOnce, place } = this.of
-    if (action.kind === 'send' && ran > 0 && !isRead && !isOnce) this.problems.push('a write that may have run was sent again')
+    const { isRead, hasIdempotencyKey, place } = this.of
+    if (action.kind === 'send' && ran > 0 && !isRead && !hasIdempotencyKey) this.problems.push('a write that may have run was sent again')
     if (action.kind === 'send' && this.now >= DEADLINE) this.problems.push('sent after the deadline')
     if (action.kind === 'send' && place !== 'alone' && place !== 'begin' && action.attempt > 1) this.problems.push('a statement of a transaction was sent again')
     if (action.kind === 'answer' || action.kind === 'refuse') {
-      this.told++
+      this.reportCount++
       const isNotRun = action.kind === 'refuse' ? reasons[action.reason].provesNotRun : this.lastOutcome === 'notRun' || this.lastOutcome === 'failed'
-      this.toldNotRun = isNotRun
-      if (isNotRun && ran > 0) this.problems.push('told "not run" of what ran')
-      if (this.told > 1) this.problems.push('answered twice')
+      this.hasReportedNotRun = isNotRun
+      if (isNotRun && ran > 0) this.problems.push('reported "not run", but it ran')
+      if (this.reportCount > 1) this.problems.push('answered twice')
     }
     if (action.kind === 'cancel') return
     this.due = action.kind === 'answer' || action.kind === 'refuse' ? undefined : action
--- a/src/core/request/attempts.ts
+++ b/src/core/request/attempts.ts
@@ -1,10 +1,8 @@
 /**
  * The attempts of one request, on the frontend's side.
  *
- * "Not run" may be said only while every attempt so far is proved not to have
- * run. So an attempt whose end is unknown stays on record: a later attempt
- * that didn't run, or failed, proves nothing of the earlier one, which may
- * still take effect on a connection that nobody can see.
+ * "Not run" may be reported only if every attempt so far is proved not to have run. So an attempt with an unknown outcome stays on record:
+ * a later attempt that didn't run, or failed, proves nothing about the earlier one, which may still take effect.
  */
 
 import type { EndpointId } from '../id/endpoint.ts'
@@ -24,15 +22,15 @@
   readonly spec: RequestSpec
   readonly budget: RetryBudget
   readonly phase: Phase
-  /** The number of the newest attempt; 0 before the first. */
+  /** Number of the newest attempt; 0 before the first. */
   readonly attempt: number
   readonly retries: number
   readonly endpoint: EndpointId | undefined
   readonly avoidedEndpoints: readonly EndpointId[]
   readonly hasRows: boolean
-  /** An earlier attempt may have run. */
+  /** Whether an earlier attempt may have run. */
   readonly mayHaveRun: boolean
-  /** Why the last attempt came to nothing. */
+  /** Why the last attempt failed. */
   readonly reason: ReasonName
 }
 
@@ -41,17 +39,17 @@
   readonly actions: readonly AttemptsAction[]
 }
 
-/** How long a request waits for news before it is routed again. */
+/** Maximum wait for a change of the groups before a request is routed again. */
 const RETRY_DELAY_MS = 20
-/** A slot owner knows more than the frontend (nothing was sent, say), so its answer at the deadline is given this time to arrive. */
+/** Time after the deadline for the slot owner's answer to arrive: it may know more than the frontend, such as that nothing was sent. */
 const ANSWER_GRACE_MS = 250
-/** Retries elsewhere of a write that isn't urgent; each may find another slot owner. */
+/** Maximum number of retries elsewhere of a write that isn't urgent; each may find another slot owner. */
 const MAX_RETRIES_ELSEWHERE = 3
-/** When to come back: a promotion takes about this long. */
+/** Retry-after time during a failover; a promotion takes about this long. */
 const RETRY_AFTER_FAILOVER_MS = 1000
 const DEFAULT_RETRY_AFTER_MS = 100
 
-/** The state of one request. Immutable; `step` takes an event in and yields the next state. */
+/** The state of one request. Immutable; `step` handles an event and returns the next state. */
 export class Attempts {
   private constructor (private readonly fields: Fields) {}
 
@@ -86,7 +84,7 @@
     }
   }
 
-  /** Against an answer that comes late: an attempt that was given up can't end a newer one. */
+  /** Whether the attempt is the current one; late events of earlier attempts are ignored. */
   private isCurrent (attempt: number): boolean {
     return this.fields.phase === 'sent' && this.fields.attempt === attempt
   }
@@ -112,10 +110,7 @@
     }
   }
 
-  /**
-   * Nothing ran in this attempt. The caller is told so at once, unless another
-   * try can help: holding the answer back would only keep it from asking again.
-   */
+  /** Handles an attempt in which nothing ran. The caller is answered at once, unless a retry can help, so that it can retry elsewhere. */
   private refused (reason: ReasonName | undefined, now: Instant, wasSent: boolean): Step {
     const { spec, hasRows } = this.fields
     const next = this.with({ reason: reason ?? 'notSent' })
@@ -136,7 +131,7 @@
     return recovery === 'elsewhere' && (spec.isRead || retries < MAX_RETRIES_ELSEWHERE)
   }
 
-  /** The attempt may have run. It is tried again only where a second run does no harm and no part of a result was passed on. */
+  /** Handles an attempt that may have run. It's retried only if a second run is harmless and no part of a result was passed on. */
   private handleUnknownOutcome (reason: ReasonName, now: Instant): Step {
     const { spec, hasRows } = this.fields
     if (this.isRolledBack) return this.refuse('lostTransaction')
@@ -147,9 +142,8 @@
   }
 
   /**
-   * Whether losing the attempt proves its transaction undone. It does while
-   * COMMIT was never sent: whenever the endpoint notices that the connection is
-   * gone, all it can do is roll back. A statement that commits by itself breaks that.
+   * Whether the loss of the attempt proves that its transaction was rolled back: COMMIT wasn't sent, so the endpoint can only roll back
+   * when the connection closes. A statement that may commit implicitly is an exception.
    */
   private get isRolledBack (): boolean {
     const { spec } = this.fields
@@ -157,9 +151,8 @@
   }
 
   /**
-   * Only a retry that loads an endpoint again costs budget. Waiting for a
-   * promotion doesn't, nor does asking a slot that can't reach the dead primary yet:
-   * urgent writes would else use the budget up before the failover has begun.
+   * Whether a retry counts against the budget: only if it loads an endpoint again. Waiting for a promotion is free, and so are retries at
+   * a slot that can't reach the dead primary yet; otherwise urgent writes would use up the budget before the failover starts.
    */
   private usesBudget (reason: ReasonName | undefined): boolean {
     return recoveryOf(reason) === 'elsewhere' && !this.fields.spec.waitsForPrimary
@@ -171,8 +164,8 @@
   }
 
   private retry (): Step {
-    const { avoidedEndpoints: avoid, endpoint, retries } = this.fields
-    const avoided = endpoint === undefined || avoid.includes(endpoint) ? avoid : [...avoid, endpoint]
+    const { avoidedEndpoints, endpoint, retries } = this.fields
+    const avoided = endpoint === undefined || avoidedEndpoints.includes(endpoint) ? avoidedEndpoints : [...avoidedEndpoints, endpoint]
     return this.to({ phase: 'waiting', avoidedEndpoints: avoided, retries: retries + 1 }, { kind: 'wait', ms: RETRY_DELAY_MS })
   }
 
--- a/src/core/request/attemptsaction.ts
+++ b/src/core/request/attemptsaction.ts
@@ -1,4 +1,4 @@
-/** What the attempts of a request ask of the shell. */
+/** Actions that the attempts of a request ask of the shell. */
 
 import type { EndpointId } from '../id/endpoint.ts'
 import type { ReasonName } from '../reasonname.ts'
@@ -6,10 +6,10 @@
 /**
  * - `route`: find an endpoint; `avoid` lists those that could not be reached just now.
  * - `send`: run the request there. Its events carry the attempt's number.
- * - `wait`: until the groups change, `ms` at the longest; then `resumed`.
- * - `cancel`: give the attempt up; its connection must not be used again.
- * - `answer`: pass the last attempt's answer on. The request is over.
- * - `refuse`: tell the caller the proxy's own reason. The request is over.
+ * - `wait`: wait until the groups change, `ms` milliseconds at most; then `resumed`.
+ * - `cancel`: cancel the attempt; its connection must not be reused.
+ * - `answer`: pass on the last attempt's answer, which ends the request.
+ * - `refuse`: refuse with the proxy's own reason, which ends the request.
  */
 export type AttemptsAction =
   | { readonly kind: 'route', readonly ms: number, readonly avoid: readonly EndpointId[] }
--- a/src/core/request/attemptsevent.ts
+++ b/src/core/request/attemptsevent.ts
@@ -1,4 +1,4 @@
-/** What can happen to the attempts of a request. */
+/** Events of the attempts of a request. */
 
 import type { EndpointId } from '../id/endpoint.ts'
 import type { Outcome } from '../outcome.ts'
@@ -9,9 +9,9 @@
  * - `routed`: the endpoint of the next attempt.
  * - `unroutable`: no endpoint can take the request now.
  * - `rows`: a part of the attempt's result was passed on to the caller.
- * - `answered`: the attempt ended; `reason` is there for the proxy's own refusals.
- * - `resumed`: the wait that was asked for is over.
- * - `tick`: nothing but time.
+ * - `answered`: the attempt ended; `reason` is set for the proxy's own refusals.
+ * - `resumed`: the requested wait is over.
+ * - `tick`: time has passed.
  * - `left`: the caller closed its connection.
  */
 export type AttemptsEvent =
--- a/src/core/request/counts.ts
+++ b/src/core/request/counts.ts
@@ -1,4 +1,4 @@
-/** What an endpoint says of a statement without rows. */
+/** The counts that an endpoint reports for a statement without rows. */
 
 export interface Counts {
   readonly affected: number
--- a/src/core/request/endpointerror.ts
+++ b/src/core/request/endpointerror.ts
@@ -1,4 +1,4 @@
-/** What an endpoint's error says of the statement and its transaction. */
+/** Classifies an endpoint's errors by their effect on the statement and its transaction. */
 
 const ER_DUP_ENTRY = 1062
 const ER_SERVER_SHUTDOWN = 1053
@@ -10,11 +10,11 @@
 const ER_RUN_HOOK_ERROR = 3100
 
 /**
- * - `readOnly`: refused before it ran, since the server isn't primary.
- * - `duplicate`: a unique key exists already.
+ * - `readOnly`: refused before it ran, because the server isn't primary.
+ * - `duplicate`: a unique key already exists.
  * - `noTable`: a table doesn't exist.
- * - `rolledBack`: the server rolled the whole transaction back.
- * - `unclear`: the server broke off, perhaps in the middle of a commit.
+ * - `rolledBack`: the server rolled back the whole transaction.
+ * - `unclear`: the server stopped, possibly in the middle of a commit.
  * - `refused`: any other; the statement had no effect and its transaction goes on.
  */
 type ErrorKind = 'readOnly' | 'duplicate' | 'noTable' | 'rolledBack' | 'unclear' | 'refused'
@@ -29,7 +29,7 @@
   [ER_RUN_HOOK_ERROR, 'unclear']
 ])
 
-/** The error number 1290 stands for many options of a server; only its read-only ones say that it isn't primary. */
+/** Returns the kind of an error. Error 1290 covers many server options; only the read-only ones mean that the server isn't primary. */
 export function errorKind (code: number, message: string): ErrorKind {
   if (code === ER_OPTION_PREVENTS_STATEMENT) return /read[-_]only/i.test(message) ? 'readOnly' : 'refused'
   return KINDS.get(code) ?? 'refused'
--- a/src/core/request/idempotentscript.ts
+++ b/src/core/request/idempotentscript.ts
@@ -1,10 +1,8 @@
 /**
- * A run under an idempotency key: the key's row and the effect are committed
- * together or not at all.
+ * Runs a statement under an idempotency key: the key's row in the ledger and the effect are committed together or not at all.
  *
- * A try that finds the key taken has no effect. It answers with the first
- * try's counts, and only once a second server holds the row: it writes to the
- * row and has that write confirmed, which covers all that the log holds before.
+ * A try that finds the key taken has no effect and answers with the first try's counts. Before that it writes to the key's row and has
+ * that write confirmed by a second server, which covers everything before it in the log.
  */
 
 import { reasons } from '../reason.ts'
@@ -25,20 +23,20 @@
 
 interface Fields {
   readonly spec: RunSpec
-  /** The counts of the statement, of this try or of the first. */
+  /** The statement's counts, from this try or from the first. */
   readonly counts: Counts
-  /** What comes after the rollback that is under way. */
+  /** What follows the rollback in progress. */
   readonly next: 'create' | 'lookup' | FinalAction
-  /** The endpoint's error that made a look into the ledger necessary. */
+  /** The endpoint's error that caused a ledger lookup. */
   readonly refusal: Refused | undefined
-  /** The ledger may hold an earlier try: that this one had no effect says nothing of it. */
+  /** The ledger may hold an earlier try, so that this try's failure doesn't prove that nothing ran. */
   readonly isDuplicate: boolean
   readonly isVoid: boolean
   readonly hasCreatedLedger: boolean
 }
 
 const NO_COUNTS: Counts = { affected: 0, insertId: 0 }
-/** Steps after which the transaction must be open still. */
+/** Steps after which the transaction must still be open. */
 const STEPS_IN_TRANSACTION: ReadonlySet<RunStep> = new Set(['begin', 'claim', 'statement', 'record'])
 
 export class IdempotentScript implements RunScript {
@@ -60,7 +58,7 @@
 
   answered (step: RunStep, event: Answered): RunNext<RunScript> {
     const { access } = this.fields.spec
-    // Outside of a transaction the key and the effect would be kept apart.
+    // Outside of a transaction the key and the effect would be committed separately.
     if (STEPS_IN_TRANSACTION.has(step) && !event.isOpen) return endAndClose(refuse(step === 'begin' ? 'rolledBack' : 'endedTransaction'))
     switch (step) {
       case 'begin': return this.send('claim')
@@ -96,7 +94,7 @@
     return this.rollBack({ kind: 'failed', code: event.code, message: event.message })
   }
 
-  /** While COMMIT was never sent, all that the endpoint can do about a closed connection is to roll back. */
+  /** As long as COMMIT wasn't sent, an endpoint can only roll back when the connection closes. */
   lossReason (step: RunStep, reason: 'lost' | 'deadline'): ReasonName {
     const { isDuplicate, spec } = this.fields
     if (step === 'commit' || step === 'void' || isDuplicate) return reason
@@ -120,9 +118,9 @@
     return { kind: 'failed', code, message }
   }
 
-  /** A write to the ledger without a position can't be confirmed, so nothing is said of it. */
+  /** A write to the ledger can only be confirmed by its position, so without one its outcome is unknown. */
   private endAfterConfirmation (event: Answered, last: FinalAction): RunNext<RunScript> {
-    if (event.token === undefined) return endAndClose(refuse('unconfirmed', 'the endpoint told no position'))
+    if (event.token === undefined) return endAndClose(refuse('unconfirmed', 'the endpoint reported no log position'))
     return { kind: 'confirm', back: { kind: 'giveBack', how: event.isOpen ? 'close' : 'clean' }, token: event.token, last }
   }
 
--- a/src/core/request/implicitcommit.ts
+++ b/src/core/request/implicitcommit.ts
@@ -1,4 +1,4 @@
-/** Statements that commit by themselves, as MySQL's manual lists them. */
+/** Detects statements that commit implicitly, as listed in the MySQL manual. */
 
 import { skipLeadingTrivia } from '../routing/trivia.ts'
 
@@ -6,8 +6,8 @@
 const MAY_COMMIT = /^(?:call|prepare|execute)\b/i
 
 /**
- * - `always`: inside of a transaction it would commit what came before.
- * - `may`: a stored procedure or prepared text, whose statements can't be seen from here.
+ * - `always`: inside a transaction it would commit what came before.
+ * - `may`: a stored procedure or prepared text, whose statements aren't visible to the proxy.
  * - `never`: any other.
  */
 export function implicitCommit (sql: string): 'always' | 'may' | 'never' {
--- a/src/core/request/plainscript.ts
+++ b/src/core/request/plainscript.ts
@@ -1,4 +1,4 @@
-/** A run of the caller's statement alone. */
+/** Runs the caller's statement without an idempotency key. */
 
 import type { ReasonName } from '../reasonname.ts'
 import type { Counts } from './counts.ts'
@@ -30,7 +30,7 @@
   answered (_step: RunStep, event: Answered): RunNext<RunScript> {
     switch (this.spec.access) {
       case 'begin': return event.isOpen ? kept(event) : endAndClose(refuse('lostTransaction', 'no transaction began'))
-      // A statement that ended its transaction has committed what came before it, which nobody asked for.
+      // A statement that ended its transaction has implicitly committed what came before it.
       case 'inside': return event.isOpen ? kept(event) : endAndClose(refuse('endedTransaction'))
       case 'commit': return event.token === undefined ? endAfterProof(event, 'reset') : endAfterConfirmation(event, 'reset')
       case 'rollback': return endAfterConfirmation(event, 'reset')
@@ -44,13 +44,13 @@
   }
 
   refused (_step: RunStep, event: Refused): RunNext<RunScript> {
-    const { access, mayCommitImplicitly: commitsItself } = this.spec
+    const { access, mayCommitImplicitly } = this.spec
     const failed: FinalAction = { kind: 'failed', code: event.code, message: event.message }
     const isRead = access === 'read' || access === 'strict'
     const kind = errorKind(event.code, event.message)
     if (kind === 'unclear' && !isRead) return endAndClose(refuse(this.lossReason('statement', 'lost'), event.message))
     // A procedure may have committed its first statements before one was refused.
-    if (kind === 'readOnly' && commitsItself) return endAndClose(refuse('lost', event.message))
+    if (kind === 'readOnly' && mayCommitImplicitly) return endAndClose(refuse('lost', event.message))
     switch (access) {
       case 'begin': return endAndClose(kind === 'readOnly' ? refuse('replaced') : failed)
       case 'commit':
@@ -62,10 +62,10 @@
     }
   }
 
-  /** While COMMIT was never sent, all that the endpoint can do about a closed connection is to roll back. */
+  /** As long as COMMIT wasn't sent, an endpoint can only roll back when the connection closes. */
   lossReason (_step: RunStep, reason: 'lost' | 'deadline'): ReasonName {
-    const { access, mayCommitImplicitly: commitsItself } = this.spec
-    const isUndone = access === 'begin' || access === 'rollback' || (access === 'inside' && !commitsItself)
+    const { access, mayCommitImplicitly } = this.spec
+    const isUndone = access === 'begin' || access === 'rollback' || (access === 'inside' && !mayCommitImplicitly)
     return isUndone ? 'lostTransaction' : reason
   }
 }
@@ -75,10 +75,8 @@
 }
 
 /**
- * Against a primary that is cut off from its group: a transaction or statement
- * that wrote nothing has nothing to be confirmed, and what it saw was stale
- * ("no such booking", say). A proof that is asked for now covers all that it
- * saw, since terms only grow.
+ * Ends with a proof that the endpoint is the current primary. A statement or transaction that wrote nothing has nothing to confirm, but on
+ * a primary that is cut off from its group it may have read stale data. As terms only grow, a later proof covers all that it read.
  */
 function endAfterProof ({ counts, isOpen }: Answered, how: 'clean' | 'reset'): RunNext<RunScript> {
   return {
--- a/src/core/request/recovery.ts
+++ b/src/core/request/recovery.ts
@@ -1,12 +1,12 @@
-/** What can mend the cause of a refusal. */
+/** Classifies refusals by what would let a retry succeed. */
 
 import type { ReasonName } from '../reasonname.ts'
 
 /**
  * - `elsewhere`: another slot owner or endpoint may take the request now.
- * - `newPrimary`: nothing but a promotion, which some requests wait for, see RequestSpec.
- * - `firstSample`: the first sample of the group, which comes within a probe of a start or of a first use.
- * - `never`: trying again right away would end the same way.
+ * - `newPrimary`: only a promotion helps, for which some requests wait; see `RequestSpec`.
+ * - `firstSample`: the first sample of the group helps, which arrives within a probe interval of a start or of a first use.
+ * - `never`: an immediate retry would fail the same way.
  */
 type Recovery = 'firstSample' | 'elsewhere' | 'newPrimary' | 'never'
 
--- a/src/core/request/runaction.ts
+++ b/src/core/request/runaction.ts
@@ -1,4 +1,4 @@
-/** What the run of a request on a slot asks of the shell. */
+/** Actions that the run of a request on a slot asks of the shell. */
 
 import type { ReasonName } from '../reasonname.ts'
 import type { Token } from '../token.ts'
@@ -6,14 +6,14 @@
 import type { RunStep } from './runstep.ts'
 
 /**
- * - `prove`: that this endpoint is the current primary; then `proved`.
- * - `obtain`: a connection, the transaction's own where it has one; then `obtained` or `unobtainable`.
- * - `send`: a statement on it; then `answered`, `found`, `refused` or `lost`.
- * - `keep`: the connection for the open transaction.
- * - `giveBack`: the connection. `clean`: it may be lent again; `reset`: only after a reset that succeeded; `close`: never.
- * - `confirm`: that a second server has the position; then `confirmed`.
+ * - `prove`: prove that this endpoint is the current primary; then `proved`.
+ * - `obtain`: get a connection, the transaction's own if it has one; then `obtained` or `unobtainable`.
+ * - `send`: send a statement on it; then `answered`, `found`, `refused` or `lost`.
+ * - `keep`: keep the connection for the open transaction.
+ * - `giveBack`: return the connection. `clean`: it may be reused; `reset`: only after a successful reset; `close`: never.
+ * - `confirm`: have a second server confirm the position; then `confirmed`.
  * - `done` with `isReplay`: the key had run before, and these are the first run's counts; nothing ran now.
- * - `done`, `failed`, `refuse`: the request's outcome. It's over.
+ * - `done`, `failed`, `refuse`: the request's outcome, which ends it.
  */
 export type RunAction =
   | { readonly kind: 'prove' }
--- a/src/core/request/runevent.ts
+++ b/src/core/request/runevent.ts
@@ -1,4 +1,4 @@
-/** What can happen to the run of a request on a slot. */
+/** Events of the run of a request on a slot. */
 
 import type { ReasonName } from '../reasonname.ts'
 import type { Token } from '../token.ts'
@@ -6,16 +6,16 @@
 
 /**
  * - `start`: the request arrived.
- * - `proved`: the proof that the endpoint is the current primary came out.
- * - `obtained`: a connection that nobody else uses is there.
- * - `unobtainable`: there is none and will be none.
- * - `answered`: the endpoint answered the last statement; `token` says where its write went into the log.
+ * - `proved`: whether the endpoint was proved to be the current primary.
+ * - `obtained`: a connection that nobody else uses is available.
+ * - `unobtainable`: there is no connection and there will be none.
+ * - `answered`: the endpoint answered the last statement; `token` is the log position of its write.
  * - `found`: the answer to `lookup`.
  * - `refused`: the endpoint answered the last statement with an error.
- * - `lost`: the connection broke before the answer to the last statement.
+ * - `lost`: the connection broke before the last statement was answered.
  * - `confirmed`: whether a second server has the position that was asked for.
- * - `deadline`: the request's time is over.
- * - `cancelled`: the asker gave the request up, or is gone; nobody takes an answer.
+ * - `deadline`: the request's deadline has passed.
+ * - `cancelled`: the requester cancelled the request or disconnected; nobody expects an answer.
  * - `released`: the request's transaction is to be rolled back.
  */
 export type RunEvent =
@@ -26,7 +26,7 @@
   | {
     readonly kind: 'answered'
     readonly counts: Counts
-    /** The server's status says that a transaction is open. */
+    /** Whether the server's status reports an open transaction. */
     readonly isOpen: boolean
     readonly hasRows: boolean
     readonly token: Token | undefined
@@ -40,7 +40,7 @@
   | { readonly kind: 'released' }
 
 interface Row {
-  /** Whose row it is: of the same statement, of another one, or of nothing since the key was settled as not run. */
+  /** Who claimed the key: the same statement, another statement, or none because the key was settled as not run. */
   readonly claim: 'same' | 'other' | 'void'
   readonly counts: Counts
 }
--- a/src/core/request/runnext.ts
+++ b/src/core/request/runnext.ts
@@ -1,4 +1,4 @@
-/** What a script wants after an answer of the endpoint. */
+/** What a script does next after an answer of the endpoint. */
 
 import type { Token } from '../token.ts'
 import type { Counts } from './counts.ts'
@@ -9,8 +9,8 @@
 type FinalAction = Extract<RunAction, { kind: 'done' | 'failed' | 'refuse' }>
 
 /**
- * - `send`: the next statement; `script` is the state in which the script then is.
- * - `end`: the outcome, and what becomes of the connection.
+ * - `send`: send the next statement; `script` is the script's state from then on.
+ * - `end`: end the run with the outcome `last`; `back` says what becomes of the connection.
  * - `confirm`: the same, once a second server has the position.
  * - `prove`: the same, once the endpoint is proved to be the current primary.
  */
--- a/src/core/request/slotrun.test.ts
+++ b/src/core/request/slotrun.test.ts
@@ -1,4 +1,4 @@
-/** The run of a request on a slot: outcomes, connections and idempotency keys. */
+/** Guards against false outcomes, unclean connections and a second effect of an idempotency key. */
 
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
@@ -22,15 +22,15 @@
 const deadline: RunEvent = { kind: 'deadline' }
 const READ_ONLY = err(1290, 'running with the --super-read-only option')
 
-/** Feeds events after `start` and `obtained`, and yields the last one's actions, in short. */
+/** Feeds events after `start` and `obtained`, and returns a summary of the last one's actions. */
 function last (spec: RunSpec, ...events: readonly RunEvent[]): string {
   let run = SlotRun.create(spec)
   let actions: readonly RunAction[] = []
   for (const event of [{ kind: 'start' } as const, { kind: 'obtained' } as const, ...events]) ({ run, actions } = run.step(event))
-  return actions.map(inShort).join(', ')
+  return actions.map(summarize).join(', ')
 }
 
-function inShort (action: RunAction): string {
+function summarize (action: RunAction): string {
   if (action.kind === 'send') return `send ${action.step}`
   if (action.kind === 'giveBack') return action.how
   return action.kind === 'refuse' ? action.reason : action.kind
@@ -39,11 +39,11 @@
 describe('SlotRun', () => {
   it.each<[string, string, RunSpec, RunEvent[]]>([
     ['a write', 'clean, confirm', of('write'), [ok(false, 7)]],
-    ['a write that nobody confirms', 'unconfirmed', of('write'), [ok(false, 7), { kind: 'confirmed', holds: false }]],
-    ['a write that changed nothing, which a replaced primary may say as well', 'clean, prove', of('write'), [ok()]],
-    ['and is proved', 'done', of('write'), [ok(), { kind: 'proved', holds: true }]],
-    ['and is not', 'unconfirmed', of('write'), [ok(), { kind: 'proved', holds: false }]],
-    ['and is not in time', 'unconfirmed', of('write'), [ok(), deadline]],
+    ['a write that no second server confirms', 'unconfirmed', of('write'), [ok(false, 7), { kind: 'confirmed', holds: false }]],
+    ['a write that changed nothing, as a replaced primary may also report', 'clean, prove', of('write'), [ok()]],
+    ['a write that changed nothing, proved', 'done', of('write'), [ok(), { kind: 'proved', holds: true }]],
+    ['a write that changed nothing, not proved', 'unconfirmed', of('write'), [ok(), { kind: 'proved', holds: false }]],
+    ['a write that changed nothing, not proved in time', 'unconfirmed', of('write'), [ok(), deadline]],
     ['a read', 'clean, done', of('read'), [ok()]],
     ['a read that left a transaction open', 'close, done', of('read'), [ok(true)]],
     ['a write at a replaced primary', 'clean, replaced', of('write'), [READ_ONLY]],
@@ -51,49 +51,48 @@
     ['a procedure at a replaced primary may have run in part', 'close, lost', of('write', { mayCommitImplicitly: true }), [READ_ONLY]],
     ['a write cut off by a shutdown may be committed', 'close, lost', of('write'), [err(1053)]],
     ['a write past its deadline', 'close, deadline', of('write'), [deadline]],
-    ['an answer after the deadline reaches nobody', '', of('write'), [deadline, ok(false, 7)]],
+    ['an answer after the deadline is ignored', '', of('write'), [deadline, ok(false, 7)]],
     ['a cancelled read', 'close', of('read'), [{ kind: 'cancelled' }]],
     ['BEGIN', 'keep, done', of('begin'), [ok(true)]],
     ['a statement of a transaction', 'keep, done', of('inside'), [ok(true)]],
     ['a statement that ended its transaction', 'close, endedTransaction', of('inside'), [ok(false)]],
     ['an error inside keeps the transaction', 'keep, failed', of('inside'), [err(1064)]],
-    ['a deadlock ends it', 'close, lostTransaction', of('inside'), [err(1213)]],
-    ['a replaced primary ends it', 'close, lostTransaction', of('inside'), [READ_ONLY]],
-    ['a lost connection rolls it back', 'close, lostTransaction', of('inside'), [lost]],
-    ['unless the statement commits by itself', 'close, lost', of('inside', { mayCommitImplicitly: true }), [lost]],
-    ['its caller gives it up while a statement runs', 'close, lostTransaction', of('inside'), [{ kind: 'released' }]],
+    ['a deadlock ends the transaction', 'close, lostTransaction', of('inside'), [err(1213)]],
+    ['a replaced primary ends the transaction', 'close, lostTransaction', of('inside'), [READ_ONLY]],
+    ['a lost connection rolls the transaction back', 'close, lostTransaction', of('inside'), [lost]],
+    ['a lost connection proves no rollback if the statement may commit implicitly', 'close, lost', of('inside', { mayCommitImplicitly: true }), [lost]],
+    ['the caller abandons the transaction while a statement runs', 'close, lostTransaction', of('inside'), [{ kind: 'released' }]],
     ['COMMIT', 'reset, confirm', of('commit'), [ok(false, 7)]],
     ['COMMIT AND CHAIN', 'close, confirm', of('commit'), [ok(true, 7)]],
     ['a COMMIT without a write, whose reads must be proved', 'reset, prove', of('commit'), [ok()]],
-    ['and are', 'done', of('commit'), [ok(), { kind: 'proved', holds: true }]],
-    ['and are not', 'unproved', of('commit'), [ok(), { kind: 'proved', holds: false }]],
-    ['and are not in time', 'unproved', of('commit'), [ok(), deadline]],
+    ['a COMMIT without a write, proved', 'done', of('commit'), [ok(), { kind: 'proved', holds: true }]],
+    ['a COMMIT without a write, not proved', 'unproved', of('commit'), [ok(), { kind: 'proved', holds: false }]],
+    ['a COMMIT without a write, not proved in time', 'unproved', of('commit'), [ok(), deadline]],
     ['a lost COMMIT', 'close, lost', of('commit'), [lost]],
     ['a COMMIT past its deadline', 'close, deadline', of('commit'), [deadline]],
     ['ROLLBACK', 'reset, done', of('rollback'), [ok()]],
     ['a key is claimed before the statement', 'send claim', once, [ok(true)]],
-    ['the ledger is made when it is missing', 'send create', once, [ok(true), err(1146), ok(false)]],
-    ['a claim outside of a transaction is no claim', 'close, endedTransaction', once, [ok(true), ok(false)]],
+    ['the ledger is created if it is missing', 'send create', once, [ok(true), err(1146), ok(false)]],
+    ['a claim outside of a transaction is not valid', 'close, endedTransaction', once, [ok(true), ok(false)]],
     ['a loss before COMMIT was sent is a rollback', 'close, rolledBack', once, [ok(true), ok(true), lost]],
-    ['so is a deadline', 'close, rolledBack', once, [ok(true), ok(true), ok(true), deadline]],
-    ['a loss of COMMIT is not', 'close, lost', once, [ok(true), ok(true), ok(true), ok(true), lost]],
+    ['a deadline before COMMIT was sent is a rollback', 'close, rolledBack', once, [ok(true), ok(true), ok(true), deadline]],
+    ['a loss of COMMIT is not a rollback', 'close, lost', once, [ok(true), ok(true), ok(true), ok(true), lost]],
     ['a duplicate is looked up', 'send lookup', once, [ok(true), err(1062), ok(false)]],
-    ['and is answered only once its row is confirmed', 'send touch', once, [ok(true), err(1062), ok(false), { kind: 'found', row: { claim: 'same', counts: NONE } }]],
+    ['a duplicate is answered only once its row is confirmed', 'send touch', once, [ok(true), err(1062), ok(false), { kind: 'found', row: { claim: 'same', counts: NONE } }]],
     ['a key of another statement', 'clean, otherRequest', once, [ok(true), err(1062), ok(false), { kind: 'found', row: { claim: 'other', counts: NONE } }]],
     ['a duplicate of the statement itself', 'clean, failed', once, [ok(true), ok(true), err(1062), ok(false), { kind: 'found', row: undefined }]],
-    ['rows can not be kept', 'send rollback', once, [ok(true), ok(true), ok(true, 0, true)]],
+    ['a statement with rows can not be recorded', 'send rollback', once, [ok(true), ok(true), ok(true, 0, true)]],
     ['a rollback that fails closes the connection', 'close, rolledBack', once, [ok(true), err(1146), err(1064)]]
   ])('%s: %s', (_, expected, spec, events) => {
     expect(last(spec, ...events)).toBe(expected)
   })
 
-  // A kit issue is sent, its answer is lost, and it's sent again through another proxy while the
-  // first one may still be running or the primary is replaced. Reel counts must go down once. Who
-  // was told "done" keeps the effect over every failover; who was told "not run" never sees one.
-  it('runs a key at most once and tells the truth of it', () => {
+  // A keyed write is sent again through another proxy while the first try may still run or the primary is replaced. It must take effect
+  // at most once. A "done" must survive every failover, and after "not run" there must be no effect.
+  it('runs a key at most once and reports its true outcome', () => {
     fc.assert(fc.property(fc.array(commands, { maxLength: 16 }), script => {
-      const endpoint = new Endpoint()
-      const tries = [new Try(endpoint, once), new Try(endpoint, once), new Try(endpoint, once), new Try(endpoint, of('settle', { hasIdempotencyKey: true }))]
+      const endpoint = new SimulatedEndpoint()
+      const tries = [new SimulatedTry(endpoint, once), new SimulatedTry(endpoint, once), new SimulatedTry(endpoint, once), new SimulatedTry(endpoint, of('settle', { hasIdempotencyKey: true }))]
       for (const command of script) {
         for (let i = 0; i < command.steps; i++) tries[command.who]!.advance('none', command.holds)
         if (command.fault === 'failover') endpoint.failOver(command.keeps)
@@ -122,8 +121,8 @@
   readonly claim: 'same' | 'void' | undefined
 }
 
-/** A primary with a log; a failover cuts the log, never below what a second server confirmed. */
-class Endpoint {
+/** A primary with a log; a failover truncates the log, but never below what a second server confirmed. */
+class SimulatedEndpoint {
   readonly problems: string[] = []
   log: Commit[] = []
   confirmed = 0
@@ -156,11 +155,11 @@
   }
 }
 
-/** One try: a run, its connection, and what it was told. */
-class Try {
+/** One try: a run, its connection, and the outcome it reported. */
+class SimulatedTry {
   private run: SlotRun
   private due: RunAction | undefined
-  private told: RunAction | undefined
+  private reported: RunAction | undefined
   private isOpen = false
   private claim: Commit['claim']
   private effects = 0
@@ -169,7 +168,7 @@
   private isBusy = false
   private readonly faults: string[] = []
 
-  constructor (private readonly endpoint: Endpoint, spec: RunSpec) {
+  constructor (private readonly endpoint: SimulatedEndpoint, spec: RunSpec) {
     this.run = SlotRun.create(spec)
     this.step({ kind: 'start' })
   }
@@ -198,18 +197,18 @@
   }
 
   problems (): string[] {
-    const { told, endpoint } = this
+    const { reported, endpoint } = this
     const { log } = endpoint
     const own = log.some(one => one.by === this && one.effects > 0)
     const found = [...this.faults]
-    if (told?.kind === 'done' && endpoint.effects !== 1) found.push('told done, and the effect is gone')
-    if (told?.kind === 'failed' && own) found.push('told failed, and it ran')
-    if (told?.kind === 'refuse' && reasons[told.reason].provesNotRun && own) found.push('told not run, and it ran')
-    if (told?.kind === 'refuse' && told.reason === 'voided' && endpoint.effects !== 0) found.push('told settled as not run, and it ran')
+    if (reported?.kind === 'done' && endpoint.effects !== 1) found.push('reported done, but the effect is gone')
+    if (reported?.kind === 'failed' && own) found.push('reported failed, but it ran')
+    if (reported?.kind === 'refuse' && reasons[reported.reason].provesNotRun && own) found.push('reported not run, but it ran')
+    if (reported?.kind === 'refuse' && reported.reason === 'voided' && endpoint.effects !== 0) found.push('reported settled as not run, but it ran')
     return found
   }
 
-  /** The request is given up; a statement that was on its way may still be executed before the connection's end shows. */
+  /** Abandons the request; a statement that was already sent may still be executed before the endpoint notices the closed connection. */
   private abandon (kind: 'deadline' | 'cancelled', isRunning: boolean): void {
     const { due } = this
     this.step({ kind })
@@ -268,14 +267,14 @@
     switch (action.kind) {
       case 'giveBack':
         this.holds--
-        if (this.holds !== 0) this.faults.push('a connection was given back twice, or never obtained')
-        if (action.how !== 'close' && (this.isOpen || this.isBusy)) this.faults.push('an unclean connection was given back')
+        if (this.holds !== 0) this.faults.push('a connection was returned twice, or never obtained')
+        if (action.how !== 'close' && (this.isOpen || this.isBusy)) this.faults.push('an unclean connection was returned')
         return
       case 'send': this.isBusy = true
     }
     if (action.kind === 'done' || action.kind === 'failed' || action.kind === 'refuse') {
-      if (this.told !== undefined) this.faults.push('told twice')
-      this.told = action
+      if (this.reported !== undefined) this.faults.push('reported two outcomes')
+      this.reported = action
       this.due = undefined
       return
     }
--- a/src/core/request/slotrun.ts
+++ b/src/core/request/slotrun.ts
@@ -1,11 +1,9 @@
 /**
- * The run of one request, on the slot owner's side: from its borrowing of a
- * connection to its outcome.
+ * The run of one request on the slot owner's side: from obtaining a connection to the outcome.
  *
- * Two invariants. A connection that was obtained is given back or kept exactly
- * once, and given back as `clean` only when the server's last status shows no
- * transaction and no answer is outstanding on it. And "not run" is said only
- * on the proofs that docs/PROOFS.md lists.
+ * Two invariants hold. An obtained connection is returned or kept exactly once, and it's returned as `clean` only if the server's last
+ * status shows no open transaction and no answer is outstanding. And "not run" is reported only with one of the proofs listed in
+ * docs/PROOFS.md.
  */
 
 import type { ReasonName } from '../reasonname.ts'
@@ -28,7 +26,7 @@
   readonly actions: readonly RunAction[]
 }
 
-/** The state of one run. Immutable; `step` takes an event in and yields the next state. */
+/** The state of one run. Immutable; `step` handles an event and returns the next state. */
 export class SlotRun {
   private constructor (
     private readonly spec: RunSpec,
@@ -57,14 +55,14 @@
       case 'found': return phase.kind === 'running' ? this.apply(this.script.found(event)) : this.idle
       case 'refused': return phase.kind === 'running' ? this.apply(this.script.refused(phase.step, event)) : this.idle
       case 'lost': return this.loseConnection('lost', event.detail)
-      case 'released': return this.loseConnection('lost', 'its transaction was given up')
+      case 'released': return this.loseConnection('lost', 'its transaction was abandoned')
       case 'confirmed': return phase.kind === 'confirming' ? this.confirmed(phase.last, event.holds) : this.idle
       case 'deadline': return this.deadline()
       case 'cancelled': return this.cancel()
     }
   }
 
-  /** A connection that was obtained after all was over has carried nothing of this request. */
+  /** A connection that is obtained after the end hasn't been used for this request. */
   private ignoreAfterEnd (event: RunEvent): Step {
     return { run: this, actions: event.kind === 'obtained' ? [{ kind: 'giveBack', how: 'clean' }] : [] }
   }
@@ -96,20 +94,19 @@
   }
 
   /**
-   * A write is acknowledged only when a second server has it in the same term.
-   * Against a primary that was replaced and doesn't know: it still answers OK,
-   * but a majority is sealed, so nobody confirms to it.
+   * A write is acknowledged only if a second server has it in the same term. A replaced primary may still answer OK, but nobody confirms
+   * its writes, since a majority of the group is sealed.
    */
   private confirmed (last: RunAction, holds: boolean): Step {
     return holds ? this.to({ kind: 'over' }, last) : this.refuse('unconfirmed')
   }
 
-  /** A write without a position isn't known to have changed nothing: an endpoint may not tell positions at all. */
+  /** Without a position a write may still have changed something: some endpoints report no positions. */
   private refuseUnproved (): Step {
     return this.refuse(this.spec.access === 'write' ? 'unconfirmed' : 'unproved')
   }
 
-  /** The connection must go: an answer is outstanding on it, or a transaction may be open. */
+  /** Closes the connection: an answer is outstanding on it, or a transaction may be open. */
   private loseConnection (reason: 'lost' | 'deadline', detail: string): Step {
     const { phase } = this
     if (phase.kind !== 'running') return this.idle
@@ -127,7 +124,7 @@
     }
   }
 
-  /** Nobody is left to take an answer, so its connection must not be used for another's. */
+  /** Ends without an outcome, since nobody expects one. A connection with an outstanding answer is closed. */
   private cancel (): Step {
     const over = this.to({ kind: 'over' })
     if (this.phase.kind !== 'running') return over
--- a/src/core/request/waitsforprimary.test.ts
+++ b/src/core/request/waitsforprimary.test.ts
@@ -1,11 +1,8 @@
-/** Which requests wait out a failover. */
+/** Guards against reads and urgent writes that are refused during a failover which they could wait for. */
 
 import { describe, expect, it } from 'vitest'
 import { waitsForPrimary } from './waitsforprimary.ts'
 
-// A caller reads right after a failover and is told "no second server could
-// prove that the primary is current". The new primary answers already, its
-// replicas have yet to be told to follow it, and the read was given up at once.
 describe('waitsForPrimary', () => {
   it.each([
     ['read', undefined, true],
--- a/src/core/request/waitsforprimary.ts
+++ b/src/core/request/waitsforprimary.ts
@@ -1,12 +1,11 @@
-/** Which requests wait out a failover. */
+/** Decides which requests wait for the end of a failover. */
 
 import type { statementKind } from '../routing/statementkind.ts'
 
 /**
- * Urgent requests wait for a new primary, and so do reads that somebody waits
- * for: while the new primary's replicas are being told to follow it, a read
- * can't be proved fresh for some milliseconds. Browsing and other writes are
- * told at once when to come back, so that they don't fill the queues.
+ * Urgent requests wait for a new primary, and so do all reads but those of class `browsing`: for some milliseconds after a promotion, while
+ * replicas are reattached to the new primary, reads can't be proved fresh. Browsing requests and other writes are refused at once with
+ * a retry-after time, so that they don't fill the queues.
  */
 export function waitsForPrimary (kind: ReturnType<typeof statementKind>, cls: 'urgent' | 'normal' | 'browsing' | undefined): boolean {
   if (cls === 'urgent') return true
--- a/src/core/retry/sharedretrybudget.test.ts
+++ b/src/core/retry/sharedretrybudget.test.ts
@@ -1,4 +1,4 @@
-/** That retries stay a share of the traffic in an outage. */
+/** Guards against retries that multiply the load in an outage. */
 
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
@@ -14,7 +14,7 @@
 const DEADLINE_MS = 1000
 const endpoint = 'shop-1' as EndpointId
 
-/** Runs one read to its end against an endpoint that answers nothing, and counts what was sent. */
+/** Runs one read to its end against an endpoint that never answers, and returns how often it was sent. */
 function sends (budget: RetryBudget, began: number): number {
   const spec: RequestSpec = {
     isRead: true, hasIdempotencyKey: false, place: 'alone', mayCommitImplicitly: false, waitsForPrimary: false, deadline: began + DEADLINE_MS as Instant
@@ -40,13 +40,9 @@
   return sent
 }
 
-/*
- * An endpoint goes down under a thousand reads a second. Each is tried again
- * every 20 ms until its deadline, the endpoint is met by fifty times the load
- * when it starts, and goes down again. Cause: a bound on the retries of each request bounds nothing in sum.
- */
+/* A limit per request wouldn't bound the sum of retries: an endpoint that restarts under many times its load fails again. */
 describe('in a full outage of an endpoint', () => {
-  it.each([100, 1000, 10_000])('%i requests in ten seconds are sent at most 1.2 times each once there are enough to matter', requests => {
+  it.each([100, 1000, 10_000])('%i requests in ten seconds are sent at most 1.2 times each if there are at least 1000', requests => {
     const budget = SharedRetryBudget.create(0 as Instant)
     let sent = 0
     for (let i = 0; i < requests; i++) sent += sends(budget, i * 10_000 / requests)
@@ -54,18 +50,14 @@
     if (requests >= 1000) expect(sent / requests).toBeLessThanOrEqual(1.2)
   })
 
-  it('without a budget each is sent more than forty times', () => {
+  it('each is sent more than forty times without a budget', () => {
     expect(sends(alwaysRetry, 0)).toBeGreaterThan(40)
   })
 })
 
-/*
- * A primary dies. Until it's judged, its slot refuses urgent writes at once. Each
- * tries again every 20 ms, twenty tries are all there is, and crimp results are refused
- * before the promotion has begun. Cause: waiting for a promotion counted as load on an endpoint.
- */
+/* Urgent writes wait for a promotion. If the waits counted against the budget, they would be refused before the promotion starts. */
 it.each<[string, boolean, AttemptsEvent[], string]>([
-  ['an urgent write waits out a failover', true, [{ kind: 'routed', endpoint }, { kind: 'answered', attempt: 1, outcome: 'notRun', reason: 'unreachable' }], 'wait'],
+  ['an urgent write waits for the end of a failover', true, [{ kind: 'routed', endpoint }, { kind: 'answered', attempt: 1, outcome: 'notRun', reason: 'unreachable' }], 'wait'],
   ['an urgent write waits for a promotion', true, [{ kind: 'unroutable', reason: 'noPrimary' }], 'wait'],
   ['any other request ends', false, [{ kind: 'routed', endpoint }, { kind: 'answered', attempt: 1, outcome: 'notRun', reason: 'unreachable' }], 'answer']
 ])('with an empty budget %s', (_, waitsForPrimary, events, expected) => {
@@ -77,7 +69,7 @@
   expect(step.actions.map(action => action.kind)).toEqual([expected])
 })
 
-it('retries what one request in twenty needs', () => {
+it('allows a retry for one request in twenty', () => {
   const budget = SharedRetryBudget.create(0 as Instant)
   let refused = 0
   for (let i = 0; i < 10_000; i++) {
@@ -87,7 +79,7 @@
   expect(refused).toBe(0)
 })
 
-it('never gives more than its first tokens, its share and one a second, in any order', () => {
+it('never allows more than its initial tokens, its share and one per second, in any order', () => {
   const events = fc.array(fc.record({ isRetry: fc.boolean(), wait: fc.nat(20) }), { maxLength: 2000 })
   fc.assert(fc.property(events, all => {
     const budget = SharedRetryBudget.create(0 as Instant)
--- a/src/core/retry/sharedretrybudget.ts
+++ b/src/core/retry/sharedretrybudget.ts
@@ -1,21 +1,19 @@
-/** The retries of one process, held to a share of its requests. */
+/** Limits the retries of one process to a share of its requests. */
 
 import type { Instant } from '../id/instant.ts'
 import type { RetryBudget } from '../request/retrybudget.ts'
 
-/** Retries per request that succeeded. */
+/** Retries per successful request. */
 const RETRIES_PER_SUCCESS = 0.1
-/** Tokens that may gather: enough for the few requests that are under way when an endpoint fails. */
+/** Maximum number of tokens: enough for the requests in progress when an endpoint fails. */
 const MAX_TOKENS = 20
-/** Tokens that come with time alone, so that a process with hardly a request can retry as well. */
+/** Fill rate over time, so that a process with few requests can retry as well. */
 const TOKENS_PER_SECOND = 1
 
 /**
- * A token bucket filled by successes. Against the collapse that retries cause: an
- * endpoint fails, each request is tried three times, and three times the load
- * keeps it from coming back. With nothing succeeding nothing is filled in, so an outage costs
- * `MOST` retries and one a second, however many requests there are.
- * Changes in place: there is one for the process, and each request touches it.
+ * A token bucket filled by successful requests, which keeps retries from overloading an endpoint that fails. In a full outage there are no
+ * successes, so it costs at most `MAX_TOKENS` retries and `TOKENS_PER_SECOND`, however many requests there are.
+ * Mutable: there is one per process, and every request updates it.
  */
 export class SharedRetryBudget implements RetryBudget {
   private tokens = MAX_TOKENS
@@ -29,7 +27,7 @@
     return new SharedRetryBudget(now)
   }
 
-  /** A request ended well. */
+  /** Call it for each successful request. */
   recordSuccess (): void {
     this.tokens = Math.min(MAX_TOKENS, this.tokens + RETRIES_PER_SUCCESS)
   }
--- a/src/core/routing/applied.ts
+++ b/src/core/routing/applied.ts
@@ -1,16 +1,14 @@
-/** Whether an endpoint shows every write up to a token. */
+/** Whether an endpoint has applied every write up to a token. */
 
 import type { Sample } from '../group/sample.ts'
 import type { Token } from '../token.ts'
 
 /**
- * Proof from a sample that a replica has applied the token. An old sample is
- * still proof: what a replica has applied is on two servers, so no failover
- * drops it.
+ * Whether the sample proves that the replica has applied the token. An old sample is still proof: what a replica has applied is on two
+ * servers, so that no failover drops it.
  *
- * Against a log that was not cut at the fork yet: positions past the fork then
- * stand for other entries than the token means. A log that holds an entry of
- * the token's term, or knows where that term began, was aligned with it.
+ * A replica whose log wasn't truncated yet at the fork of a failover holds other entries at the same positions. So its log must have
+ * an entry of the token's term, or know where that term began: then it was aligned with that term.
  */
 export function hasApplied (sample: Sample, token: Token): boolean {
   const isAligned = sample.lastTerm >= token.term || sample.history.term >= token.term
--- a/src/core/routing/freshness.ts
+++ b/src/core/routing/freshness.ts
@@ -1,9 +1,9 @@
-/** How stale the answer of a read may be. */
+/** How stale a read's answer may be. */
 
 /**
- * - `strict`: never stale; read at the primary under proof that no newer term began.
- * - `session`: holds the session's own writes, else as stale as the replica.
- * - `age`: holds the session's own writes and is at most `ms` behind the primary.
+ * - `strict`: never stale; read at the primary with proof that no newer term began.
+ * - `session`: includes the session's own writes; otherwise as stale as the replica.
+ * - `age`: includes the session's own writes and is at most `ms` milliseconds behind the primary.
  */
 export type Freshness =
   | { readonly kind: 'strict' }
--- a/src/core/routing/hints.ts
+++ b/src/core/routing/hints.ts
@@ -1,5 +1,5 @@
 /**
- * What a caller says about one request, in a leading SQL comment:
+ * A caller's hints for one request, in a leading SQL comment:
  * `/* class=urgent read=browse once=kit-17 deadline=800ms session=s1 *\/`.
  */
 
@@ -10,9 +10,9 @@
 
 interface Fields {
   readonly class?: 'urgent' | 'normal' | 'browsing'
-  /** The name of a kind of read of the pool. */
+  /** Name of one of the pool's kinds of read. */
   readonly read?: string
-  /** The idempotency key: the request runs at most once under it. */
+  /** Idempotency key: the request runs at most once under it. */
   readonly once?: RequestId
   readonly deadlineMs?: number
   readonly session?: SessionId
@@ -22,34 +22,34 @@
 type Writable<T> = { -readonly [K in keyof T]: T[K] }
 
 const COMMENT = /^\s*\/\*([\s\S]*?)\*\//
-/** A key begins where no letter stands before it; else a long word would be tried again from each of its letters. */
+/** A key starts where no letter precedes it, so that a long word isn't tried again from each of its letters. */
 const PAIR = /(?<![a-z_])([a-z_]+)\s*=\s*(?:"([^"]*)"|([^\s,"]+))/gi
 
-/** The hints of one request. Immutable; `over` lets a request's own hints go before a connection's. */
+/** The hints of one request. Immutable; `withDefaults` fills them up with the connection's. */
 export class Hints {
   private constructor (readonly fields: Fields) {}
 
   static readonly none = new Hints({})
 
-  /** Reads the leading comment of a statement. Unknown keys are another tool's and are passed over. */
+  /** Parses the leading comment of a statement. Unknown keys belong to other tools and are ignored. */
   static parse (sql: string): Hints {
     const comment = COMMENT.exec(sql)?.[1]
     if (comment === undefined) return Hints.none
-    // Every request comes this way: matchAll copies the expression for each call, and a value for each pair is one too many.
+    // On the path of every request: `matchAll` would copy the expression per call, and a new `Hints` per pair would cost an allocation each.
     const fields: Writable<Fields> = {}
     PAIR.lastIndex = 0
     for (let pair = PAIR.exec(comment); pair !== null; pair = PAIR.exec(comment)) setHint(fields, pair[1]!, pair[2] ?? pair[3]!)
     return new Hints(fields)
   }
 
-  /** Sets one hint by its name; an unknown name or an unreadable value changes nothing. */
+  /** Returns the hints with one more set; an unknown name or an unreadable value changes nothing. */
   with (key: string, value: string): Hints {
     const fields: Writable<Fields> = { ...this.fields }
     setHint(fields, key, value)
     return new Hints(fields)
   }
 
-  /** These hints, filled up with the other's. */
+  /** These hints, with the other's where this has none. */
   withDefaults (other: Hints): Hints {
     if (other === Hints.none) return this
     if (this === Hints.none) return other
@@ -57,7 +57,7 @@
   }
 }
 
-/** Sets one hint in fields that nobody else holds yet. */
+/** Sets one hint; `fields` must not be shared yet. */
 function setHint (fields: Writable<Fields>, key: string, value: string): void {
   switch (key.toLowerCase()) {
     case 'class':
--- a/src/core/routing/reads.test.ts
+++ b/src/core/routing/reads.test.ts
@@ -1,4 +1,4 @@
-/** Reads of sessions over random orders of writes, failovers and evictions. */
+/** Guards against reads that break their freshness over random orders of writes, failovers and evictions. */
 
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
@@ -6,12 +6,9 @@
 import type { Freshness } from './freshness.ts'
 
 /*
- * A citizen rebooks through proxy A and looks through proxy B; the balancer
- * sends each request anywhere. Replicas receive and apply when they like, the
- * primary is cut off and replaced with writes that nobody else has, proxies
- * die, and notes of writes are late or lost. Wrong: a read that doesn't show
- * the session's acknowledged write, a strict read that misses any, an age that
- * isn't kept, or a replica that shows a write which a failover has dropped.
+ * Requests of a session go through any proxy. Replicas receive and apply at random times, primaries are cut off and replaced, proxies
+ * restart, and write notices are late or lost. It's a failure if a read misses the session's acknowledged write, a strict read
+ * misses any write, an age isn't kept, or a replica shows a write that a failover has dropped.
  */
 
 type Event = (group: FakeGroup) => void
@@ -34,13 +31,13 @@
 )
 
 describe('reads over random orders of events', () => {
-  it('keep every promise', () => {
+  it('keep their freshness', () => {
     const served = { replica: 0, primary: 0 }
     fc.assert(fc.property(fc.array(event, { minLength: 20, maxLength: 120, size: 'max' }), events => {
       const group = new FakeGroup()
-      for (const happen of events) {
+      for (const applyEvent of events) {
         group.now++
-        happen(group)
+        applyEvent(group)
       }
       served.replica += group.served.replica
       served.primary += group.served.primary
--- a/src/core/routing/route.test.ts
+++ b/src/core/routing/route.test.ts
@@ -1,4 +1,4 @@
-/** Where a read goes, by what the samples prove. */
+/** Guards against reads at endpoints that aren't proved to be fresh enough. */
 
 import { describe, expect, it } from 'vitest'
 import { Group } from '../group/group.ts'
@@ -26,7 +26,7 @@
 const primary = sample('p', 20, { role: 'primary' })
 const forked = { role: 'primary', term: 2 as Term, history: history([1, 0], [2, 20]) } as const
 
-/** Routes at instant 1000; marks say the primary was at 10 at 900 and at 20 at 990. */
+/** Routes at instant 1000; the watermarks say that the primary was at 10 at 900 and at 20 at 990. */
 const route = (of: Group, change: Partial<Parameters<typeof routeRead>[0]> = {}): string => {
   const result = routeRead({
     group: of,
@@ -48,38 +48,38 @@
 
 describe('routeRead', () => {
   it.each<[string, string, Group, Partial<Parameters<typeof routeRead>[0]>]>([
-    ['a replica that shows the session\'s writes', 'replica a', group(primary, sample('a', 10)), {}],
+    ['a replica that has applied the session\'s writes', 'replica a', group(primary, sample('a', 10)), {}],
     ['a replica far behind', 'primary p', group(primary, sample('a', 9)), {}],
-    ['a replica far behind, not asked yet', 'wait 0', group(primary, sample('a', 9)), { isRefreshed: false }],
+    ['a replica far behind, not sampled for this read yet', 'wait 0', group(primary, sample('a', 9)), { isRefreshed: false }],
     ['a replica a little behind', 'wait 10', group(primary, sample('a', 20)), { token: Token.of(1, 21) }],
     ['waited long enough', 'primary p', group(primary, sample('a', 20)), { token: Token.of(1, 21), since: 990 as Instant }],
-    ['a note is due', 'note 2', group(primary, sample('a', 9)), { isWriteNoticePending: true, since: 991 as Instant }],
-    ['a note is overdue', 'primary p', group(primary, sample('a', 9)), { isWriteNoticePending: true, since: 990 as Instant }],
+    ['a write notice is missing', 'note 2', group(primary, sample('a', 9)), { isWriteNoticePending: true, since: 991 as Instant }],
+    ['a write notice is overdue', 'primary p', group(primary, sample('a', 9)), { isWriteNoticePending: true, since: 990 as Instant }],
     ['a replica that can not be reached', 'primary p', group(primary, sample('a', 20, { reachable: false })), {}],
     ['a strict read', 'primary p', group(primary, sample('a', 20)), { freshness: { kind: 'strict' } }],
     ['an age that is proved', 'replica a', group(primary, sample('a', 10)), { freshness: { kind: 'age', ms: 100 } }],
     ['an age that is not proved', 'primary p', group(primary, sample('a', 10)), { freshness: { kind: 'age', ms: 99 } }],
-    ['an age, own writes not shown', 'primary p', group(primary, sample('a', 10)), { freshness: { kind: 'age', ms: 100 }, token: Token.of(1, 11) }],
+    ['an age, own writes not applied', 'primary p', group(primary, sample('a', 10)), { freshness: { kind: 'age', ms: 100 }, token: Token.of(1, 11) }],
     ['a replica not aligned after a failover', 'primary p', group(sample('p', 20, forked), sample('a', 25)), {}],
     ['a replica aligned, no write since', 'replica a', group(sample('p', 20, forked), sample('a', 20, { history: forked.history })), { token: Token.of(2, 20) }],
     ['a write past the fork', 'lost', group(sample('p', 20, forked), sample('a', 25)), { token: Token.of(1, 21) }],
     ['no primary', 'none', group(sample('a', 9)), {}],
     ['the nearer of two', 'replica b', group(primary, sample('a', 10), sample('b', 10)), { near: new Set(['b' as EndpointId]) }],
-    ['the nearer one is crowded', 'replica a', group(primary, sample('a', 10), sample('b', 10, { queued: 5 })), { near: new Set(['b' as EndpointId]) }],
+    ['the nearer one has a queue', 'replica a', group(primary, sample('a', 10), sample('b', 10, { queued: 5 })), { near: new Set(['b' as EndpointId]) }],
     ['equals by chance', 'replica b', group(primary, sample('a', 10), sample('b', 10)), { chance: 0.9 }]
   ])('%s: %s', (_, expected, of, change) => {
     expect(route(of, change)).toBe(expected)
   })
 })
 
-describe('Marks', () => {
-  it('proves no age that is less than the true one when it thins itself out', () => {
+describe('Watermarks', () => {
+  it('never understates an age after it dropped entries', () => {
     const times = Array.from({ length: 1000 }, (_, i) => i + 1)
-    const marks = times.reduce((all, i) => all.with(Token.of(1, i), i as Instant), Watermarks.empty)
+    const watermarks = times.reduce((all, i) => all.with(Token.of(1, i), i as Instant), Watermarks.empty)
     for (const applied of [1, 400, 800, 999, 1000]) {
-      expect(marks.age(sample('a', applied), 1000 as Instant)).toBeGreaterThanOrEqual(1000 - applied)
+      expect(watermarks.age(sample('a', applied), 1000 as Instant)).toBeGreaterThanOrEqual(1000 - applied)
     }
-    expect(marks.age(sample('a', 0), 1000 as Instant)).toBe(Infinity)
+    expect(watermarks.age(sample('a', 0), 1000 as Instant)).toBe(Infinity)
   })
 })
 
--- a/src/core/routing/statementkind.test.ts
+++ b/src/core/routing/statementkind.test.ts
@@ -1,4 +1,4 @@
-/** What a statement does, told from its first words. */
+/** Guards against writes that are taken for reads, by a statement's first words. */
 
 import { describe, expect, it } from 'vitest'
 import { statementKind } from './statementkind.ts'
--- a/src/core/routing/statementkind.ts
+++ b/src/core/routing/statementkind.ts
@@ -1,9 +1,8 @@
 /**
- * What a statement does, told from its first words.
+ * Classifies a statement by its first words.
  *
- * Only a plain SELECT or SHOW may leave the primary. Whatever isn't known to
- * be a read counts as a write: a wrong guess then costs a busy primary and
- * never a stale or lost answer.
+ * Only a plain SELECT or SHOW may run at a replica. Anything not known to be a read counts as a write: a wrong guess then loads the
+ * primary but never gives a stale or lost answer.
  */
 
 import { skipLeadingTrivia } from './trivia.ts'
@@ -12,7 +11,7 @@
 
 const LOCKING_READ = /\bfor\s+(update|share)\b|\block\s+in\s+share\s+mode\b|\binto\s+(outfile|dumpfile|@)/i
 
-/** Functions that change something or belong to one connection, so that a read with them isn't one. */
+/** Functions with side effects or bound to one connection; a statement with them isn't a read. */
 const SIDE_EFFECT = /\b(get_lock|release_lock|release_all_locks|last_insert_id|sleep|found_rows|row_count)\s*\(|:=/i
 
 const KINDS: ReadonlyMap<string, StatementKind> = new Map([
@@ -29,7 +28,7 @@
   ['use', 'use']
 ])
 
-/** The kind of one SQL statement. */
+/** Returns the kind of one SQL statement. */
 export function statementKind (sql: string): StatementKind {
   const body = skipLeadingTrivia(sql)
   const word = /^[a-z]+/i.exec(body)?.[0].toLowerCase() ?? ''
--- a/src/core/session/fingerprint.ts
+++ b/src/core/session/fingerprint.ts
@@ -1,4 +1,4 @@
-/** A short stand-in for a session's id between processes. */
+/** A short form of a session's id that processes exchange. */
 
 import type { SessionId } from '../id/session.ts'
 
@@ -6,9 +6,8 @@
 const FNV_PRIME = 0x01000193
 
 /**
- * 32-bit FNV-1a. Two sessions with one fingerprint are taken for one session:
- * each then waits for the other's writes too, which costs time and no promise.
- * Never 0, which stands for a request that no session is known of.
+ * The 32-bit FNV-1a hash of the id. Sessions with the same fingerprint are treated as one: each then also waits for the other's writes, which
+ * is slower but still correct. Never 0, which stands for a request without a session.
  */
 export function fingerprint (id: SessionId): number {
   let value = FNV_OFFSET
--- a/src/core/session/recentwrites.ts
+++ b/src/core/session/recentwrites.ts
@@ -1,11 +1,9 @@
 /**
- * Which session made each recent write of a group, as the slot owners of its
- * primary tell every process.
+ * Which session made each recent write of a group, by the write notices of the slot owners of its primary.
  *
- * A session that roams may have written anywhere, so what one proxy keeps of
- * it is never known to be the newest. The group's bound is, but it stands for
- * everybody's writes, and a replica that lags by 100 ms is behind it whenever
- * anybody wrote in the last 100 ms. The notes narrow the bound to the session.
+ * A session may write through any process, so no process surely knows its newest write. The group's bound covers it but also covers the
+ * writes of all other sessions, and a lagging replica is behind the bound whenever anybody wrote lately. Write notices narrow the bound to the
+ * session's own writes.
  */
 
 import type { Position } from '../id/position.ts'
@@ -13,10 +11,9 @@
 import { Token } from '../token.ts'
 
 /**
- * The newest notes of one term, bounded; changes in place, as it is touched by
- * every write. No note is ever taken for complete: positions are counted
- * without gaps, so a write whose note is missing (its owner died, or isn't
- * linked to this process) shows as a gap, and the bound isn't narrowed past it.
+ * The newest write notices of one term, bounded. Mutable: every write updates it. Notices may be missing, since their sender may have died or
+ * may not be connected to this process. Positions are consecutive, so a missing notice shows as a gap, below which the bound isn't
+ * narrowed.
  */
 export class RecentWrites {
   private term = 0 as Term
@@ -28,7 +25,7 @@
     return new RecentWrites(most)
   }
 
-  /** Takes a note in; one of an older term than the newest is of no use any more. */
+  /** Adds a write notice; one of an older term is ignored. */
   add (term: Term, position: Position, session: number): void {
     if (term < this.term) return
     if (term > this.term) this.sessions.clear()
@@ -39,15 +36,14 @@
     if (oldest.done !== true) this.sessions.delete(oldest.value)
   }
 
-  /** The newest position in (floor, bound] that has no note; undefined when all have one. */
+  /** The newest position in (floor, bound] without a notice; undefined if all have one. */
   findGap (bound: Token, floor: Position): Position | undefined {
     return this.findNewest(bound, floor, session => session === undefined)
   }
 
   /**
-   * The least token that covers every write of the session at or below the
-   * bound, as far as notes prove it. It isn't narrowed below `floor`, the
-   * position that every replica in question has applied.
+   * The lowest token that is proved to cover every write of the session at or below the bound. It's never below `floor`, the position
+   * that all replicas in question have applied.
    */
   narrowBound (bound: Token, session: number, floor: Position): Token {
     const found = this.findNewest(bound, floor, writer => writer === undefined || writer === session)
--- a/src/core/session/session.ts
+++ b/src/core/session/session.ts
@@ -1,10 +1,10 @@
-/** A session: what it must see of each group it has touched. */
+/** A session: the position that it requires of each group it has written to. */
 
 import type { GroupId } from '../id/group.ts'
 import type { SessionId } from '../id/session.ts'
 import { Token } from '../token.ts'
 
-/** The newest write that a session has made through this process, per group. Immutable. */
+/** The newest write of a session through this process, per group. Immutable. */
 export class Session {
   private constructor (readonly id: SessionId, private readonly tokens: ReadonlyMap<GroupId, Token>) {}
 
@@ -12,12 +12,12 @@
     return new Session(id, new Map())
   }
 
-  /** The token of the group; zero when the session has written nothing there through this process. */
+  /** The token of the group; zero if the session has written nothing there through this process. */
   token (group: GroupId): Token {
     return this.tokens.get(group) ?? Token.zero
   }
 
-  /** Takes a token in; a token never goes back. */
+  /** Adds a token; an older one is ignored. */
   with (group: GroupId, token: Token): Session {
     if (!token.isAfter(this.token(group))) return this
     return new Session(this.id, new Map(this.tokens).set(group, token))
--- a/src/core/session/sessionstate.ts
+++ b/src/core/session/sessionstate.ts
@@ -1,4 +1,4 @@
-/** What a session has set and prepared, and what brings an endpoint connection to the same state. */
+/** The values that a session has set and the statements that it has prepared. */
 
 import type { Command } from '../statement/command.ts'
 
@@ -8,14 +8,10 @@
 }
 
 /**
- * The session state of a caller, or of an endpoint connection that callers
- * share. Changes in place: it's consulted for every statement.
+ * The session state of a caller, or of an endpoint connection that callers share. Mutable: every statement consults it.
  *
- * Guard against a statement that runs under another caller's values: a
- * connection that goes from caller to caller keeps what was set on it. It shows
- * as rows computed under values that nobody of this session set. Before each
- * statement the connection is brought to exactly the session's values, by a
- * reset where it holds a value that the session doesn't have.
+ * A shared connection keeps what earlier callers set on it. Before each statement it's brought to exactly the session's values, by a reset
+ * if it holds a value that the session doesn't have, so that no statement runs under another caller's values.
  */
 export class SessionState {
   private readonly values = new Map<string, string>()
@@ -43,18 +39,18 @@
     return this.prepared.get(name)
   }
 
-  /** Forgets all, as a reset does at the endpoint. */
+  /** Clears all state, as a reset does at the endpoint. */
   clear (): void {
     this.values.clear()
     this.prepared.clear()
   }
 
-  /** The commands it takes to bring a connection in this state to the session's values. */
+  /** Number of commands that bring a connection in this state to the session's values. */
   commandCountTo (session: SessionState): number {
     return this.commandsTo(session).length
   }
 
-  /** Own commands that bring a connection in this state to the session's values. Statements are prepared when one is used. */
+  /** The commands that bring a connection in this state to the session's values. Statements are prepared when they are used. */
   commandsTo (session: SessionState): readonly Command[] {
     const needsReset = [...this.values.keys()].some(name => !session.values.has(name))
     const commands: Command[] = needsReset ? [{ kind: 'reset' }] : []
@@ -64,7 +60,7 @@
     return commands
   }
 
-  /** Takes in that a connection was sent an own command. */
+  /** Updates the state after a command was sent on the connection. */
   apply (command: Command): void {
     if (command.kind === 'reset') this.clear()
     if (command.kind === 'set') this.set(command.name, command.value)
--- a/src/core/session/sessiontable.test.ts
+++ b/src/core/session/sessiontable.test.ts
@@ -1,4 +1,4 @@
-/** The bounded table of sessions and what it must not forget. */
+/** Guards against evicting the only record of a connection's writes. */
 
 import { describe, expect, it } from 'vitest'
 import type { GroupId } from '../id/group.ts'
@@ -12,7 +12,7 @@
 const written = (name: string): Session => Session.create(id(name)).with(GROUP, Token.of(1, 5))
 
 describe('Sessions', () => {
-  it('forgets the least recently used named session', () => {
+  it('evicts the least recently used named session', () => {
     const sessions = SessionTable.create(2)
     for (const name of ['a', 'b']) sessions.set(written(name))
     sessions.get(id('a'))
@@ -20,10 +20,8 @@
     expect(['a', 'b', 'c'].map(name => sessions.get(id(name)).token(GROUP).position)).toEqual([5, 0, 5])
   })
 
-  // A connection without a session's name writes, a thousand named sessions
-  // come by, and the connection reads: it must still see its own write, of
-  // which its row is the only record.
-  it('keeps the row of a connection until it is closed', () => {
+  // A connection without a named session must read its own write even after many named sessions were added.
+  it('keeps the row of a connection until it closes', () => {
     const sessions = SessionTable.create(2)
     sessions.keep(id('own'))
     sessions.set(written('own'))
--- a/src/core/session/sessiontable.ts
+++ b/src/core/session/sessiontable.ts
@@ -1,16 +1,14 @@
-/** The sessions that one process knows, bounded; the least recently used go first. */
+/** The sessions that one process knows; a bounded table with least-recently-used eviction. */
 
 import type { SessionId } from '../id/session.ts'
 import { Session } from './session.ts'
 
 /**
- * A bounded table of named sessions, and a row for each open connection
- * without a name. Unlike the values it holds it changes in place: it is
- * touched by every request, and copying it would cost its size.
+ * A bounded table of named sessions, and a row for each open connection without a named session. Mutable: every request updates it,
+ * and copying would cost its size.
  *
- * Forgetting a named session is safe: its reads ask for a bound anyway. A
- * connection's own row is all that is known of its writes, so it's kept until
- * the connection is closed.
+ * Evicting a named session is safe, since its reads ask for a bound anyway. A connection's own row is the only record of its writes,
+ * so it's kept until the connection closes.
  */
 export class SessionTable {
   private readonly table = new Map<SessionId, Session>()
@@ -26,7 +24,7 @@
     return this.table.size + this.kept.size
   }
 
-  /** The session; one without writes when this process doesn't know it. */
+  /** The session; one without writes if this process doesn't know it. */
   get (id: SessionId): Session {
     const kept = this.kept.get(id)
     if (kept !== undefined) return kept
@@ -49,7 +47,7 @@
     if (oldest.done !== true) this.table.delete(oldest.value)
   }
 
-  /** Keeps the session's row until `forget`. */
+  /** Keeps the session's row until `forget` is called. */
   keep (id: SessionId): void {
     this.kept.set(id, Session.create(id))
   }
--- a/src/core/settings/address.ts
+++ b/src/core/settings/address.ts
@@ -1,4 +1,4 @@
-/** Addresses as settings and configurations write them: `ip:port`, by number. */
+/** Parses addresses of settings and configurations: `ip:port`, numeric. */
 
 import { err, ok, type Result } from 'neverthrow'
 
@@ -10,7 +10,7 @@
 const MAX_OCTET = 255
 const MAX_PORT = 65_535
 
-/** The parts of a text such as `"10.1.0.7:3306"`; the error names the remedy. */
+/** Parses a text such as `"10.1.0.7:3306"`; the error names the remedy. */
 export function parseAddress (text: string): Result<Address, string> {
   const match = /^(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})$/.exec(text)
   const [octets, port] = [match?.slice(1, 5).map(Number) ?? [], Number(match?.[5])]
--- a/src/core/settings/duration.ts
+++ b/src/core/settings/duration.ts
@@ -1,4 +1,4 @@
-/** Durations with units, as settings, patches and request comments write them. */
+/** Parses durations with units, as settings, patches and request hints write them. */
 
 import { err, ok, type Result } from 'neverthrow'
 
@@ -10,7 +10,7 @@
   ['d', 86_400_000]
 ])
 
-/** Milliseconds of a text such as `"250ms"`, `"1.5s"` or `"2h"`; the error names the remedy. */
+/** Returns the milliseconds of a text such as `"250ms"`, `"1.5s"` or `"2h"`; the error names the remedy. */
 export function parseDuration (text: string): Result<number, string> {
   const match = /^(\d+(?:\.\d+)?)(ms|s|m|h|d)$/.exec(text)
   if (match === null) return err(`"${text}" isn't a duration; write a number and a unit, such as "250ms" or "1.5s"`)
--- a/src/core/settings/issues.ts
+++ b/src/core/settings/issues.ts
@@ -1,16 +1,15 @@
-/** Lines about what a checker found wrong: the key, what is wrong, and the remedy. */
+/** Describes validation issues in lines that name the key, the problem and the remedy. */
 
 import type { z } from 'zod'
 
 type Issue = z.core.$ZodIssue
 
-/** How the library begins its own messages, which name no remedy. */
+/** How the library's own messages start, which name no remedy. */
 const DEFAULT_MESSAGE = /^(Invalid|Too (small|big))/
 
 /**
- * Everything that is wrong, a line each, so that a file is corrected in one go.
- * `where` says where the known keys are listed; entries of lists are named by
- * their id where they have one.
+ * Describes all issues, one per line, so that a file can be corrected in one go. `where` says where the known keys are listed; list entries
+ * are named by their id if they have one.
  */
 export function describeIssues (issues: readonly Issue[], document: unknown, where: string): string {
   return issues.flatMap(issue => describeIssue(issue, document, where)).join('\n')
