--- a/src/core/settings/settings.test.ts
+++ b/src/core/settings/settings.test.ts
@@ -1,4 +1,4 @@
-/** Which settings are accepted, and the one line that each fault is told in. */
+/** Guards against accepting invalid settings and against error lines without a remedy. */
 
 import { describe, expect, it } from 'vitest'
 import { parseAddress } from './address.ts'
@@ -14,7 +14,7 @@
   endpoints: { user: 'u', password: 'p', controlUser: 'c', controlPassword: 'p' }
 }
 
-/** The base with one key changed, by its path; undefined leaves it out. */
+/** Checks the base settings with one key changed, by its path; undefined removes it. */
 function check (path: string, value: unknown): string {
   const document = structuredClone(base) as Record<string, Record<string, unknown>>
   const [table, key] = path.split('.') as [string, string | undefined]
@@ -52,7 +52,7 @@
     expect(check(path, value)).toBe(expected)
   })
 
-  it('names every problem at once, unknown keys beside a missing table', () => {
+  it('names every problem at once, unknown keys as well as a missing table', () => {
     const { endpoints: _, ...rest } = base
     const document = { ...rest, colour: {}, host: { ...base.host, shape: 1, size: 2 } }
     expect(parseSettings(document).match(() => '', problems => problems).split('\n').sort()).toEqual([
--- a/src/core/settings/settings.ts
+++ b/src/core/settings/settings.ts
@@ -8,7 +8,7 @@
 import { describeIssues } from './issues.ts'
 import { parseSize } from './size.ts'
 
-/** One request to the platform, in milliseconds: the default that docs/OPERATIONS.md names. An estimate of a slow answer; no run gave the figure. */
+/** Timeout of one request to the platform; docs/OPERATIONS.md names the default. */
 const PLATFORM_TIMEOUT_MS = 1000
 
 const KEYS_REFERENCE = '"Settings" in docs/OPERATIONS.md'
@@ -20,7 +20,7 @@
   return z.NEVER
 })
 
-/** Bytes, by number or with a unit. */
+/** A size in bytes, as a number or as a text with a unit. */
 const size = z.union([z.int().min(1), z.string()], { error: 'write a size such as "512KiB" or "64MiB", or a whole number of bytes' })
   .transform((value, context) => {
     if (typeof value === 'number') return value
@@ -95,7 +95,7 @@
 /** Durations are in milliseconds. */
 type Settings = z.output<typeof shape>
 
-/** The checked settings, or a line for each problem that names the key, what is wrong and the remedy. */
+/** Returns the validated settings, or a line for each problem that names the key, the problem and the remedy. */
 export function parseSettings (document: unknown): Result<Settings, string> {
   const parsed = shape.safeParse(document)
   if (!parsed.success) return err(describeIssues(parsed.error.issues, document, KEYS_REFERENCE))
--- a/src/core/settings/size.ts
+++ b/src/core/settings/size.ts
@@ -1,4 +1,4 @@
-/** Sizes with units, as settings write them. */
+/** Parses sizes with units, as settings write them. */
 
 import { err, ok, type Result } from 'neverthrow'
 
@@ -9,7 +9,7 @@
   ['GiB', 2 ** 30]
 ])
 
-/** Bytes of a text such as `"512KiB"` or `"64MiB"`; the error names the remedy. */
+/** Returns the bytes of a text such as `"512KiB"` or `"64MiB"`; the error names the remedy. */
 export function parseSize (text: string): Result<number, string> {
   const match = /^(\d+)(B|KiB|MiB|GiB)$/.exec(text)
   if (match === null) return err(`"${text}" isn't a size; write a whole number and a unit, such as "512KiB" or "64MiB"`)
--- a/src/core/statement/command.ts
+++ b/src/core/statement/command.ts
@@ -1,11 +1,11 @@
-/** What a process sends to an endpoint: a caller's statement under its id, or one of the process's own. */
+/** Commands that a process sends to an endpoint: a caller's statement with its id, or one of the process's own. */
 
 import type { Term } from '../id/term.ts'
 import type { Token } from '../token.ts'
 
 /**
- * `after`, where given, makes the endpoint refuse the read as `behind` unless
- * its log holds the position. The kinds without an id are the process's own.
+ * `after`, if given, makes the endpoint refuse the read as `behind` unless its log holds the position. The kinds without an id are the
+ * process's own.
  */
 export type Command =
   | { readonly kind: 'read', readonly id: string, readonly args: string, readonly after?: Token }
--- a/src/core/statement/endpointstatus.ts
+++ b/src/core/statement/endpointstatus.ts
@@ -1,10 +1,10 @@
-/** What an endpoint says of itself when it's asked. */
+/** The status that an endpoint reports. */
 
 import type { Token } from '../token.ts'
 
 export interface EndpointStatus {
   readonly isPrimary: boolean
   readonly term: number
-  /** How far its log reaches; what it would lead with if it were promoted. */
+  /** The end of its log, from which it would lead if it were promoted. */
   readonly received: Token
 }
--- a/src/core/statement/fault.ts
+++ b/src/core/statement/fault.ts
@@ -1,14 +1,14 @@
-/** The typed ways in which a statement isn't done, as an endpoint says them and as a caller is told them. */
+/** The typed errors of a statement, as endpoints report them and callers receive them. */
 
 /**
- * Nothing of the caller's attempt is kept after `busy`, `aborted`, `behind`,
- * `notPrimary`, `wrongEndpoint`, `tooManyConnections`, `outOfTouch` and `overAllowance`.
- * - `failed`: it ran, and failed.
+ * Nothing of the caller's attempt is kept after `busy`, `aborted`, `behind`, `notPrimary`, `wrongEndpoint`, `tooManyConnections`,
+ * `outOfTouch` and `overAllowance`.
+ * - `failed`: it ran and failed.
  * - `timeout`: its time is used up.
- * - `unknown`: it may have run, and it may be kept.
- * - `unauthorised`: nobody holds the caller's key.
- * - `outOfTouch`: this host can't know whether the caller's key still holds.
- * - `overAllowance`: the caller's team has used what it may for now.
+ * - `unknown`: it may have run, and its effect may be kept.
+ * - `unauthorised`: the key belongs to no caller.
+ * - `outOfTouch`: this host can't know whether the caller's key is still valid.
+ * - `overAllowance`: the caller's team has used up its allowance for now.
  */
 export type Fault =
   | 'busy'
--- a/src/core/statement/preparedname.ts
+++ b/src/core/statement/preparedname.ts
@@ -1,9 +1,6 @@
-/** The name of a prepared statement on connections that callers share. */
+/** Names of prepared statements on connections that callers share. */
 
-/**
- * One name a shape, so that all sessions share what is prepared and no two
- * shapes can meet under one name: the name holds the shape itself.
- */
+/** Returns one name per shape, so that all sessions share prepared statements. The name contains the shape, so that two shapes never share one. */
 export function preparedName (isWrite: boolean, shape: string): string {
   return `${isWrite ? 'w' : 'r'}_${shape}`
 }
--- a/src/core/statement/reply.ts
+++ b/src/core/statement/reply.ts
@@ -1,4 +1,4 @@
-/** What a caller is told of its statement. */
+/** The reply to a caller's statement. */
 
 import type { Fault } from './fault.ts'
 
--- a/src/core/statement/statement.ts
+++ b/src/core/statement/statement.ts
@@ -1,9 +1,8 @@
-/** One statement of a caller, decoded from whatever protocol carried it. */
+/** A caller's statement, decoded from the protocol that carried it. */
 
 /**
- * `args` is the statement's text after its verb, byte for byte as the caller
- * sent it: an endpoint gets it unchanged. A prepared statement alone is renamed
- * on its way, since callers' names collide on a shared connection.
+ * `args` is the statement's text after its verb, byte for byte as received, and is passed on unchanged. Only prepared statements are
+ * renamed, since callers' names would collide on a shared connection.
  */
 export type Statement =
   | { readonly kind: 'begin', readonly isReadOnly: boolean }
