--- a/src/core/admission/admission.test.ts
+++ b/src/core/admission/admission.test.ts
@@ -38,7 +38,7 @@
     return id
   }
 
-  many (count: number, wish: Parameters<SlotDriver['arrive']>[0]): number[] {
+  arriveMany (count: number, wish: Parameters<SlotDriver['arrive']>[0]): number[] {
     return Array.from({ length: count }, () => this.arrive(wish))
   }
 
@@ -83,7 +83,7 @@
 describe('classes', () => {
   it('starts the most urgent first, in any order of arrival', () => {
     const slot = SlotDriver.warm()
-    const running = slot.many(14, { rank: URGENT })
+    const running = slot.arriveMany(14, { rank: URGENT })
     const [browsing, normal, urgent] = [BROWSING, NORMAL, URGENT].map(rank => slot.arrive({ rank }))
     expect(slot.drain(running, 9)).toEqual([urgent, normal, browsing])
   })
@@ -91,7 +91,7 @@
   it.each([[14, 10], [28, 20], [2, 2], [1, 1]])('of %i connections browsing uses at most %i and leaves the rest to others', (connections, most) => {
     const slot = SlotDriver.warm(connections)
     slot.started = []
-    const ids = slot.many(connections, { rank: BROWSING })
+    const ids = slot.arriveMany(connections, { rank: BROWSING })
     expect(slot.started).toEqual(ids.slice(0, most))
     const urgent = slot.arrive({ rank: URGENT })
     expect(slot.started.includes(urgent)).toBe(most < connections)
@@ -99,9 +99,9 @@
 
   it('gives one start in seventeen to a waiting lower class', () => {
     const slot = SlotDriver.warm()
-    const running = slot.many(14, { rank: URGENT })
+    const running = slot.arriveMany(14, { rank: URGENT })
     const browsing = slot.arrive({ rank: BROWSING })
-    const urgent = slot.many(40, { rank: URGENT })
+    const urgent = slot.arriveMany(40, { rank: URGENT })
     const order = slot.drain([...running, ...urgent], 40)
     expect(order.indexOf(browsing)).toBe(16)
   })
@@ -112,7 +112,7 @@
   it.each([[BROWSING, 3], [NORMAL, 8], [URGENT, 12]])('class %i pins at most %i of 14 connections', (rank, most) => {
     const slot = SlotDriver.warm()
     slot.started = []
-    slot.many(20, { rank, isTransaction: true })
+    slot.arriveMany(20, { rank, isTransaction: true })
     expect(slot.started).toHaveLength(most)
     const statement = slot.arrive({ rank })
     expect(slot.started).toContain(statement)
@@ -123,8 +123,8 @@
 describe('fair sharing', () => {
   it('serves a second caller in its turn, before the rest of the first one\'s burst', () => {
     const slot = SlotDriver.warm()
-    const running = slot.many(14, { rank: URGENT, caller: 'greedy' })
-    slot.many(100, { rank: URGENT, caller: 'greedy' })
+    const running = slot.arriveMany(14, { rank: URGENT, caller: 'greedy' })
+    slot.arriveMany(100, { rank: URGENT, caller: 'greedy' })
     const modest = slot.arrive({ rank: URGENT, caller: 'modest' })
     expect(slot.drain(running, 4)).toContain(modest)
   })
@@ -132,8 +132,8 @@
   it('charges connection time, so that long statements get fewer turns', () => {
     const slot = SlotDriver.warm(1)
     const first = slot.arrive({ caller: 'long' })
-    const long = slot.many(3, { caller: 'long' })
-    const short = slot.many(3, { caller: 'short' })
+    const long = slot.arriveMany(3, { caller: 'long' })
+    const short = slot.arriveMany(3, { caller: 'short' })
     slot.now += 100
     const order = slot.drain([first, ...short, ...long], 4)
     expect(order.slice(0, 3)).toEqual(short)
@@ -141,8 +141,8 @@
 
   it('evicts the greedy caller\'s newest request when the queue is full', () => {
     const slot = SlotDriver.warm(14, Limits.of(14).with({ maxQueued: 20 }))
-    slot.many(12, { caller: 'greedy' })
-    const greedy = slot.many(20, { caller: 'greedy' })
+    slot.arriveMany(12, { caller: 'greedy' })
+    const greedy = slot.arriveMany(20, { caller: 'greedy' })
     slot.arrive({ caller: 'modest' })
     expect(slot.refused.map(one => one.id)).toEqual([greedy.at(-1)])
     expect(slot.admission.queued).toBe(20)
@@ -152,8 +152,8 @@
 describe('deadlines', () => {
   it('refuses on arrival what can\'t be served in time, with a retry-after time', () => {
     const slot = SlotDriver.warm()
-    slot.many(14, {})
-    slot.many(1000, { ms: 60_000 })
+    slot.arriveMany(14, {})
+    slot.arriveMany(1000, { ms: 60_000 })
     const late = slot.arrive({ ms: 100 })
     expect(slot.refused).toMatchObject([{ id: late, reason: 'busy' }])
     expect(slot.refused[0]!.retryAfterMs).toBeGreaterThan(100)
@@ -161,17 +161,17 @@
 
   it('spreads retry-after times', () => {
     const slot = SlotDriver.warm()
-    slot.many(14, {})
-    slot.many(1000, { ms: 60_000 })
-    slot.many(500, { ms: 100 })
+    slot.arriveMany(14, {})
+    slot.arriveMany(1000, { ms: 60_000 })
+    slot.arriveMany(500, { ms: 100 })
     const times = slot.refused.map(one => one.retryAfterMs)
     expect(new Set(times).size).toBeGreaterThan(400)
   })
 
   it('refuses a request as soon as it can\'t meet its deadline', () => {
     const slot = SlotDriver.warm()
-    slot.many(14, {})
-    const ids = slot.many(50, { ms: 1000 })
+    slot.arriveMany(14, {})
+    const ids = slot.arriveMany(50, { ms: 1000 })
     slot.now += 600
     slot.step({ kind: 'tick' })
     expect(slot.refused.length).toBeGreaterThan(0)
@@ -186,7 +186,7 @@
 ])('idle time isn\'t a stall: %s accepts a sudden burst', (_, create) => {
   const slot = create()
   slot.now += 60_000
-  slot.many(32, { ms: 5000 })
+  slot.arriveMany(32, { ms: 5000 })
   expect(slot.refused).toEqual([])
 })
 
@@ -194,7 +194,7 @@
 describe('openings', () => {
   it('has at most four in progress, five milliseconds apart', () => {
     const slot = new SlotDriver(Limits.of(14))
-    slot.many(14, {})
+    slot.arriveMany(14, {})
     expect(slot.opens).toBe(1)
     for (let i = 0; i < 10; i++, slot.now += 5) slot.step({ kind: 'tick' })
     expect(slot.opens).toBe(4)
@@ -317,7 +317,7 @@
 describe('soft deadlines', () => {
   it('requests before their soft deadline go first, in any order of arrival', () => {
     const slot = SlotDriver.warm(1)
-    const [running] = slot.many(1, {})
+    const [running] = slot.arriveMany(1, {})
     const late = slot.arrive({ ms: 1000, aimMs: 10 })
     slot.now += 20
     const fresh = slot.arrive({ ms: 1000, aimMs: 10 })
--- a/src/core/admission/connectionpacer.ts
+++ b/src/core/admission/connectionpacer.ts
@@ -37,12 +37,13 @@
     return true
   }
 
+  /** A connection was opened. */
   recordSuccess (): void {
     this.inProgress--
     this.resetBackOff()
   }
 
-  /** An opening ended with room for a connection, without a connection. */
+  /** There was room for a connection, but none was opened yet. */
   recordVacancy (): void {
     this.inProgress--
   }
--- a/src/core/allowance/allowance.test.ts
+++ b/src/core/allowance/allowance.test.ts
@@ -74,8 +74,8 @@
   })
 
   it('is decoded as it was encoded', () => {
-    const made = IssuerTable.initial(hosts(84)).withReplacement(2, hosts(84))!
-    expect(IssuerTable.decode(made.encode())!.places).toEqual(made.places)
+    const table = IssuerTable.initial(hosts(84)).withReplacement(2, hosts(84))!
+    expect(IssuerTable.decode(table.encode())!.places).toEqual(table.places)
     expect(['', '[]', '{}', '[{"host":1}]'].map(text => IssuerTable.decode(text))).toEqual([undefined, undefined, undefined, undefined])
   })
 
@@ -138,46 +138,46 @@
 })
 
 describe('the tokens of a team', () => {
-  const silence = IssuerBackOff.create()
-  const made = () => TeamTokens.of([0, 1, 2], silence, 0, at(0))
-  const got = (count: number, nextMs = 0, askedAt = 0) => ({ count, nextMs, askedAt: at(askedAt), lifetimeMs: 400 })
+  const backOff = IssuerBackOff.create()
+  const createTokens = () => TeamTokens.of([0, 1, 2], backOff, 0, at(0))
+  const grant = (count: number, nextMs = 0, askedAt = 0) => ({ count, nextMs, askedAt: at(askedAt), lifetimeMs: 400 })
 
   it('are valid for their lifetime from the request for them', () => {
-    const tokens = made()
-    tokens.answered(0, got(2), at(50))
+    const tokens = createTokens()
+    tokens.answered(0, grant(2), at(50))
     expect([tokens.take(at(399)), tokens.take(at(400))]).toEqual([400, undefined])
   })
 
   it('have expired after a suspension', () => {
-    const tokens = made()
-    tokens.answered(0, got(2), at(50))
+    const tokens = createTokens()
+    tokens.answered(0, grant(2), at(50))
     expect(tokens.take(at(86_400_000))).toBeUndefined()
   })
 
   it('come from one place after the other, except places that are empty or don\'t answer', () => {
-    const tokens = made()
+    const tokens = createTokens()
     const places = () => [0, 1, 2].map(() => tokens.next(1, 400, at(10))).map(next => next.kind === 'ask' ? next.place : -1)
     expect(places()).toEqual([0, 1, 2])
-    tokens.answered(0, got(0, 300), at(10))
-    silence.recordTimeout(1, at(10))
+    tokens.answered(0, grant(0, 300), at(10))
+    backOff.recordTimeout(1, at(10))
     expect(places()).toEqual([2, 2, 2])
-    tokens.answered(2, got(0, 700), at(10))
+    tokens.answered(2, grant(0, 700), at(10))
     expect(tokens.next(1, 400, at(10))).toEqual({ kind: 'none', ms: 100, isSilent: false })
     expect(tokens.next(1, 400, at(111))).toMatchObject({ kind: 'ask', place: 1 })
-    silence.recordTimeout(1, at(111))
+    backOff.recordTimeout(1, at(111))
     expect(tokens.next(1, 400, at(111))).toEqual({ kind: 'none', ms: 199, isSilent: false })
   })
 
   it('are prefetched according to recent usage', () => {
-    const tokens = made()
+    const tokens = createTokens()
     for (let i = 0; i < 40; i++) tokens.take(at(i * 10))
     expect(tokens.prefetchCount(400, at(400))).toBeGreaterThanOrEqual(5)
     expect(tokens.prefetchCount(400, at(5000))).toBe(0)
   })
 
   it('that were returned are used again', () => {
-    const tokens = made()
-    tokens.answered(0, got(1), at(50))
+    const tokens = createTokens()
+    tokens.answered(0, grant(1), at(50))
     tokens.putBack(tokens.take(at(60))!)
     expect(tokens.take(at(70))).toBe(400)
   })
--- a/src/core/allowance/issuerbackoff.ts
+++ b/src/core/allowance/issuerbackoff.ts
@@ -26,6 +26,7 @@
     this.silent.delete(place)
   }
 
+  /** Starts or doubles the delay of a place whose issuer didn't answer. */
   recordTimeout (place: number, now: Instant): void {
     const times = (this.silent.get(place)?.times ?? 0) + 1
     this.silent.set(place, { times, until: now + Math.min(MAX_BACK_OFF_MS, INITIAL_BACK_OFF_MS * 2 ** (times - 1)) as Instant })
--- a/src/core/allowance/issuertable.ts
+++ b/src/core/allowance/issuertable.ts
@@ -38,6 +38,7 @@
     return JSON.stringify(this.places)
   }
 
+  /** The host that issues at the place; undefined if there is no such place. */
   hostAt (place: number): HostId | undefined {
     return this.places[place]?.host
   }
--- a/src/core/allowance/teamtokens.ts
+++ b/src/core/allowance/teamtokens.ts
@@ -31,7 +31,7 @@
 /** Tokens are prefetched for this part of their lifetime; the answer takes time, and unused tokens expire. */
 const PREFETCH_LIFETIME_SHARE = 0.5
 
-/** Mutable: every operation updates it. `now` is of the clock that counts suspension, so that a host holds no tokens after one. */
+/** Mutable: every operation updates it. `now` is of the clock that runs during suspension, so that a host holds no valid tokens after one. */
 export class TeamTokens {
   private batches: TokenBatch[] = []
   private readonly emptyUntil = new Map<number, Instant>()
@@ -39,16 +39,17 @@
   private recentUse = 0
   private recentUseAt: Instant
 
-  private constructor (private places: readonly number[], private readonly silence: IssuerBackOff, chance: number, now: Instant) {
+  private constructor (private places: readonly number[], private readonly backOff: IssuerBackOff, chance: number, now: Instant) {
     this.nextIndex = Math.floor(chance * places.length)
     this.recentUseAt = now
   }
 
   /** `places`: where the team's tokens are issued; `chance`, from 0 to 1, spreads hosts over them. */
-  static of (places: readonly number[], silence: IssuerBackOff, chance: number, now: Instant): TeamTokens {
-    return new TeamTokens(places, silence, chance, now)
+  static of (places: readonly number[], backOff: IssuerBackOff, chance: number, now: Instant): TeamTokens {
+    return new TeamTokens(places, backOff, chance, now)
   }
 
+  /** Replaces the places at which the team's tokens are issued. */
   setPlaces (places: readonly number[]): void {
     this.places = places
   }
@@ -82,14 +83,14 @@
     const count = Math.min(MAX_REQUESTED_TOKENS, Math.max(waiting, this.prefetchCount(lifetimeMs, now) - this.left(now)))
     for (let i = 0; i < this.places.length; i++) {
       const place = this.places[(this.nextIndex + i) % this.places.length]!
-      if (this.isEmpty(place, now) || this.silence.until(place, now) !== undefined) continue
+      if (this.isEmpty(place, now) || this.backOff.until(place, now) !== undefined) continue
       this.nextIndex = (this.nextIndex + i + 1) % this.places.length
       return { kind: 'ask', place, count: Math.max(1, count) }
     }
     if (this.places.length === 0) return { kind: 'none', ms: UNKNOWN_ISSUER_RETRY_MS, isSilent: true }
-    const soonest = Math.min(...this.places.map(place => Math.max(this.emptyUntil.get(place) ?? now, this.silence.until(place, now) ?? now)))
+    const soonest = Math.min(...this.places.map(place => Math.max(this.emptyUntil.get(place) ?? now, this.backOff.until(place, now) ?? now)))
     // If any issuer answered, it's known when there is a token; otherwise nothing is.
-    return { kind: 'none', ms: Math.max(0, soonest - now), isSilent: this.places.every(place => this.silence.until(place, now) !== undefined) }
+    return { kind: 'none', ms: Math.max(0, soonest - now), isSilent: this.places.every(place => this.backOff.until(place, now) !== undefined) }
   }
 
   answered (place: number, { count, nextMs, askedAt, lifetimeMs }: IssuerAnswer, now: Instant): void {
--- a/src/core/allowance/tokenbucket.ts
+++ b/src/core/allowance/tokenbucket.ts
@@ -4,8 +4,8 @@
 import type { Shard } from './shard.ts'
 
 /**
- * Immutable. A token permits one operation. Instants are of the monotonic clock: a clock that counts suspension would fill the bucket at
- * once after one.
+ * Immutable. A token permits one operation. Instants are of the monotonic clock: a clock that runs during suspension would make the bucket
+ * appear full afterwards.
  */
 export class TokenBucket {
   private constructor (private readonly shard: Shard, private readonly level: number, private readonly at: Instant) {}
--- a/src/core/allowance/tokenissuer.ts
+++ b/src/core/allowance/tokenissuer.ts
@@ -46,6 +46,7 @@
     }
   }
 
+  /** Issues up to `count` tokens of the team's bucket at the place. */
   issue ({ place, team, count, shard, since }: IssueRequest, now: Instant): IssueResult {
     const key = `${place}/${team}`
     const { next, taken } = this.bucketOf(key, place, shard, since, now).take(count, now)
--- a/src/core/config/configholder.ts
+++ b/src/core/config/configholder.ts
@@ -49,6 +49,7 @@
     return this.held?.change !== undefined
   }
 
+  /** Returns the holder with the candidate in force, or why it's refused. */
   offer (candidate: ConfigCandidate): Result<ConfigHolder, Refusal> {
     if (candidate.version <= this.version) return err({ kind: 'old' })
     if (candidate.base !== NONE && candidate.base !== this.version) return err({ kind: 'gap' })
--- a/src/core/request/idempotentscript.ts
+++ b/src/core/request/idempotentscript.ts
@@ -39,6 +39,7 @@
 /** Steps after which the transaction must still be open. */
 const STEPS_IN_TRANSACTION: ReadonlySet<RunStep> = new Set(['begin', 'claim', 'statement', 'record'])
 
+/** The state of a run under an idempotency key. Immutable. */
 export class IdempotentScript implements RunScript {
   private constructor (private readonly fields: Fields) {}
 
@@ -62,7 +63,7 @@
     if (STEPS_IN_TRANSACTION.has(step) && !event.isOpen) return endAndClose(refuse(step === 'begin' ? 'rolledBack' : 'endedTransaction'))
     switch (step) {
       case 'begin': return this.send('claim')
-      case 'claim': return access === 'begin' ? this.transactionBegun : this.send('statement')
+      case 'claim': return access === 'begin' ? this.endAndKeep : this.send('statement')
       case 'statement': return access === 'begin' ? this.send('claim') : this.afterStatement(event)
       case 'record': return this.send('commit')
       case 'commit':
@@ -94,14 +95,14 @@
     return this.rollBack({ kind: 'failed', code: event.code, message: event.message })
   }
 
-  /** As long as COMMIT wasn't sent, an endpoint can only roll back when the connection closes. */
+  /** Until COMMIT is sent, the endpoint can only roll back when the connection closes. */
   lossReason (step: RunStep, reason: 'lost' | 'deadline'): ReasonName {
     const { isDuplicate, spec } = this.fields
     if (step === 'commit' || step === 'void' || isDuplicate) return reason
     return spec.access === 'begin' ? 'lostTransaction' : 'rolledBack'
   }
 
-  private get transactionBegun (): RunNext<RunScript> {
+  private get endAndKeep (): RunNext<RunScript> {
     return { kind: 'end', back: { kind: 'keep' }, last: { kind: 'done', counts: NO_COUNTS, token: undefined, isOpen: true } }
   }
 
--- a/src/core/request/plainscript.ts
+++ b/src/core/request/plainscript.ts
@@ -16,6 +16,7 @@
 
 const NO_COUNTS: Counts = { affected: 0, insertId: 0 }
 
+/** The script of a run without an idempotency key. Immutable. */
 export class PlainScript implements RunScript {
   private constructor (private readonly spec: RunSpec) {}
 
@@ -62,7 +63,7 @@
     }
   }
 
-  /** As long as COMMIT wasn't sent, an endpoint can only roll back when the connection closes. */
+  /** Until COMMIT is sent, the endpoint can only roll back when the connection closes. */
   lossReason (_step: RunStep, reason: 'lost' | 'deadline'): ReasonName {
     const { access, mayCommitImplicitly } = this.spec
     const isUndone = access === 'begin' || access === 'rollback' || (access === 'inside' && !mayCommitImplicitly)
--- a/src/core/request/recovery.ts
+++ b/src/core/request/recovery.ts
@@ -23,6 +23,7 @@
   unconfirmed: 'newPrimary'
 }
 
+/** Returns what would let a retry of a request succeed that was refused for the reason. */
 export function recoveryOf (reason: ReasonName | undefined): Recovery {
   return (reason === undefined ? undefined : RECOVERIES[reason]) ?? 'never'
 }
--- a/src/core/routing/route.ts
+++ b/src/core/routing/route.ts
@@ -43,7 +43,7 @@
 const MIN_WAIT_MS = 2
 /** Maximum wait for a write notice. One that takes longer than a round trip is lost, or its sender isn't connected to this process. */
 const MAX_NOTICE_WAIT_MS = 10
-/** How many queued requests at a local replica are preferred to a replica of another data centre. */
+/** Added to the queue length of replicas in other data centres, so that local ones are preferred. */
 const REMOTE_QUEUE_PENALTY = 4
 
 /**
--- a/src/core/session/recentwrites.ts
+++ b/src/core/session/recentwrites.ts
@@ -1,9 +1,9 @@
 /**
  * Which session made each recent write of a group, by the write notices of the slot owners of its primary.
  *
- * A session may write through any process, so no process surely knows its newest write. The group's bound covers it but also covers the
- * writes of all other sessions, and a lagging replica is behind the bound whenever anybody wrote lately. Write notices narrow the bound to the
- * session's own writes.
+ * A session may write through any process, so no process can be sure that it knows its newest write. The group's bound covers that write,
+ * but also the writes of all other sessions, and a lagging replica is behind the bound whenever anybody wrote lately. Write notices
+ * narrow the bound to the session's own writes.
  */
 
 import type { Position } from '../id/position.ts'
--- a/src/core/session/sessiontable.test.ts
+++ b/src/core/session/sessiontable.test.ts
@@ -9,14 +9,14 @@
 
 const GROUP = 'g' as GroupId
 const id = (name: string): SessionId => name as SessionId
-const written = (name: string): Session => Session.create(id(name)).with(GROUP, Token.of(1, 5))
+const createSession = (name: string): Session => Session.create(id(name)).with(GROUP, Token.of(1, 5))
 
-describe('Sessions', () => {
+describe('SessionTable', () => {
   it('evicts the least recently used named session', () => {
     const sessions = SessionTable.create(2)
-    for (const name of ['a', 'b']) sessions.set(written(name))
+    for (const name of ['a', 'b']) sessions.set(createSession(name))
     sessions.get(id('a'))
-    sessions.set(written('c'))
+    sessions.set(createSession('c'))
     expect(['a', 'b', 'c'].map(name => sessions.get(id(name)).token(GROUP).position)).toEqual([5, 0, 5])
   })
 
@@ -24,8 +24,8 @@
   it('keeps the row of a connection until it closes', () => {
     const sessions = SessionTable.create(2)
     sessions.keep(id('own'))
-    sessions.set(written('own'))
-    for (let i = 0; i < 1000; i++) sessions.set(written(`s${i}`))
+    sessions.set(createSession('own'))
+    for (let i = 0; i < 1000; i++) sessions.set(createSession(`s${i}`))
     expect(sessions.get(id('own')).token(GROUP).position).toBe(5)
     sessions.forget(id('own'))
     expect(sessions.get(id('own')).token(GROUP).position).toBe(0)
--- a/src/core/statement/answer.ts
+++ b/src/core/statement/answer.ts
@@ -16,7 +16,7 @@
   readonly transaction: 'none' | 'open' | 'failed'
   /** The end of the endpoint's log. */
   readonly position: Token | undefined
-  /** When the command was sent, by the clock that counts suspension. */
+  /** When the command was sent, by the clock that runs during suspension. */
   readonly sentAt: Instant
   /** The endpoint's status, if the command asks for it. */
   readonly status?: EndpointStatus
