--- a/src/core/directory/missingendpoints.test.ts
+++ b/src/core/directory/missingendpoints.test.ts
@@ -1,4 +1,4 @@
-/** How long an endpoint without an entry is kept. */
+/** How long an endpoint is kept after its entry disappeared. */
 
 import { expect, it } from 'vitest'
 import type { EndpointId } from '../id/endpoint.ts'
--- a/src/core/gossip/event.ts
+++ b/src/core/gossip/event.ts
@@ -6,8 +6,8 @@
 /**
  * - `members`: the partners of this host have changed.
  * - `linked`: a link to the host is up.
- * - `held`: this host applied a version that `from` sent, or that came from the store if undefined. `hasChange` says
- *   whether it has the change that led there, or the whole document only.
+ * - `held`: this host applied a version that `from` sent, or one from the store when `from` is undefined. `hasChange`
+ *   says whether it has the change that led there, or the whole document only.
  * - `digest`: a host says which version it has; 0 for none.
  * - `missed`: a host sent a change to a version that this host doesn't have.
  * - `tick`: time has passed.
--- a/src/core/membership/slotclaimer.test.ts
+++ b/src/core/membership/slotclaimer.test.ts
@@ -104,7 +104,7 @@
     ['a host that is gone had', [claim(0, 'b'), claim(1, 'gone')], 1],
     ['a host that nobody knows yet has', [claim(0, 'b'), claim(1, 'unknown')], undefined],
     ['is held by others', [claim(0, 'b'), claim(1, 'c')], undefined]
-  ])('on a slot that %s', (_, claims, index) => {
+  ])('handle a slot that %s', (_, claims, index) => {
     expect(chosenSlot(begin().step({ kind: 'read', claims }, 0 as Instant, 0))).toBe(index)
   })
 
--- a/src/core/termhistory.test.ts
+++ b/src/core/termhistory.test.ts
@@ -8,7 +8,7 @@
 const history = (...starts: ReadonlyArray<[number, number]>): TermHistory =>
   TermHistory.of(starts.map(([term, position]) => ({ term: term as Term, position: position as Position })))
 
-describe('History', () => {
+describe('TermHistory', () => {
   it.each([
     [1, 10, true, 'the last position of a term that ended there'],
     [1, 11, false, 'past the fork'],
