--- a/src/shell/pool/access/digest.ts
+++ b/src/shell/pool/access/digest.ts
@@ -1,12 +1,9 @@
-/** Turns a caller's key into what stands for it. */
+/** Computes the digest of a caller's key. */
 
 import { createHash } from 'node:crypto'
 import type { KeyDigest } from '../../../core/pool/access/keydigest.ts'
 
-/**
- * Keys are looked up by their digests, so the time that a look-up takes tells nothing of how much of a key was guessed rightly:
- * a key that is nearly right has another digest altogether.
- */
+/** Keys are looked up by their digests, so that the timing of a look-up reveals nothing about a partly correct key. */
 export function digestOf (key: string): KeyDigest {
   return createHash('sha256').update(key, 'latin1').digest('hex') as KeyDigest
 }
--- a/src/shell/pool/access/gate.ts
+++ b/src/shell/pool/access/gate.ts
@@ -1,4 +1,4 @@
-/** What lets an operation's statements out to an endpoint, and counts it. */
+/** Checks an operation's statements for permission and allowance before they are sent to an endpoint. */
 
 import type { Instant } from '../../../core/id/instant.ts'
 import type { KeyDigest } from '../../../core/pool/access/keydigest.ts'
@@ -8,28 +8,31 @@
 import type { PoolContext } from '../context.ts'
 import type { Refusal } from '../statements/refusal.ts'
 
-/** The time to come back to a host that has lost touch: about what it takes to hear from another that hasn't. Milliseconds. */
+/** Retry delay for a host that has lost touch: about the time until it hears from another host. */
 const OUT_OF_TOUCH_RETRY_MS = 1000
 
 /**
- * Guard against statements that run after their caller's key was taken away: a session, a statement in a queue, a connection on loan and a
- * transaction all outlast the check at the sign-in. So the key is looked at with each statement, where it goes out.
+ * The key is checked with each statement as it's sent, since sessions, queued statements, borrowed connections and
+ * transactions outlast the check at sign-in.
  */
 export class Gate {
-  /** Until when the operation's token counts; undefined without one. */
+  /** When the operation's token expires; undefined without one. */
   private token: Instant | undefined
   private isSpent = false
 
   private constructor (private readonly ctx: PoolContext, private readonly route: Route, private readonly key: KeyDigest | undefined, readonly team: Team | undefined) {}
 
-  /** For one operation of the team that holds the key now; or why there is none. */
+  /** A gate for one operation of the team that holds the key, or the reason for refusing it. */
   static open (ctx: PoolContext, route: Route, key: KeyDigest | undefined): Gate | Refusal {
     const permission = ctx.permission(route, key)
     if (permission.kind === 'granted') return new Gate(ctx, route, key, permission.team)
     return { fault: permission.fault, retryAfterMs: permission.fault === 'outOfTouch' ? OUT_OF_TOUCH_RETRY_MS : 0 }
   }
 
-  /** Resolves once the operation has its token, where its team needs one, or with the reason why not. `patienceMs`: it may wait so long for one; `mostMs`: so long where nobody says when there is one. */
+  /**
+   * Fetches a token if the team needs one; resolves with a refusal if none could be had. `patienceMs`: the longest wait for a
+   * token; `mostMs`: the longest wait while issuers don't answer.
+   */
   async fetchToken (patienceMs: number, mostMs: number): Promise<Refusal | undefined> {
     const { ctx: { allowances }, team } = this
     if (team?.rate === undefined || allowances === undefined || this.isSpent || this.token !== undefined) return undefined
@@ -39,29 +42,29 @@
     return undefined
   }
 
-  /** Why a statement of the operation may not go out now; undefined when it may. */
+  /** Why a statement of the operation must not be sent now; undefined if it may be. */
   check (): 'unauthorised' | 'outOfTouch' | 'busy' | 'overAllowance' | undefined {
     const permission = this.ctx.permission(this.route, this.key)
     if (permission.kind === 'refused') return permission.fault
-    // The key is another team's by now, and the connection the old one's.
+    // The key was given to another team, and the connection belongs to the former.
     if (permission.team?.id !== this.team?.id) return 'busy'
     return this.spendToken() ? undefined : 'overAllowance'
   }
 
-  /** The operation is tried again. `mayHaveRun`: so the first try counts as well. */
+  /** Prepares another try. `mayHaveRun`: the previous try may have run, so the next one needs a token of its own. */
   prepareRetry (mayHaveRun: boolean): void {
     if (this.isSpent && mayHaveRun) this.token = undefined
     this.isSpent = false
   }
 
-  /** Nothing more of the operation goes out, unless its first statement did. */
+  /** Returns the token if the operation didn't use it. */
   close (): void {
     if (this.team === undefined || this.token === undefined || this.isSpent) return
     this.ctx.allowances?.returnToken(this.team, this.token)
     this.token = undefined
   }
 
-  /** An operation takes one token, with its first statement. One that waited until its token lapsed takes another. */
+  /** Uses the operation's token with its first statement, or another one if that has expired. Returns false if there is none. */
   private spendToken (): boolean {
     const { ctx: { allowances }, team } = this
     if (team?.rate === undefined || allowances === undefined || this.isSpent) return true
--- a/src/shell/pool/allowance/allowances.test.ts
+++ b/src/shell/pool/allowance/allowances.test.ts
@@ -1,4 +1,4 @@
-/** How long operations wait for a token of their team. */
+/** Limits on the time for which operations wait for a token of their team. */
 
 import { afterEach, beforeEach, expect, it, vi } from 'vitest'
 import type { HostId } from '../../../core/id/host.ts'
@@ -12,7 +12,7 @@
 const TEAM: Team = { id: 'red' as TeamId, keys: [], rate: { perSecond: 100, burst: 100 } }
 const PATIENCE_MS = 100
 const MOST_MS = 500
-/** From a question for tokens to its answer. */
+/** From a request for tokens to its answer. */
 const ANSWER_MS = 10
 const ISSUER = { id: 'h1' } as PoolHost
 const now = () => Date.now() as Instant
@@ -20,7 +20,7 @@
 beforeEach(() => { vi.useFakeTimers({ now: 0 }) })
 afterEach(() => { vi.useRealTimers() })
 
-/** A host's account of the team where each question brings so many tokens; undefined for issuers that don't answer. */
+/** Allowances of a host for which each request grants `count` tokens; undefined for issuers that don't answer. */
 function account (count: number | undefined): Allowances {
   const allowances = Allowances.create({
     self: 'h2' as HostId,
@@ -50,7 +50,7 @@
   return allowances
 }
 
-/** When each of so many operations that come at once got its token, or was refused. */
+/** Starts operations at the same time; resolves with when each got its token or was refused. */
 async function endings (allowances: Allowances, operations: number): Promise<ReadonlyArray<{ readonly isGranted: boolean, readonly at: number }>> {
   const ended: Array<{ isGranted: boolean, at: number }> = []
   for (let i = 0; i < operations; i++) allowances.take(TEAM, PATIENCE_MS, MOST_MS).then(taken => ended.push({ isGranted: taken.isOk(), at: now() }))
@@ -58,17 +58,16 @@
   return ended
 }
 
-it('a team that asks more than it may waits no longer than twice its patience, though some tokens come with each question', async () => {
-  // Of a team that sends several times its allowance nearly all is late or refused, the part that it may ask as well.
-  // Each question brings a token, so none was ever known to be missing, and its operations queued for a second.
+it('operations of a team over its allowance wait at most twice their patience, though each request grants some tokens', async () => {
+  // Otherwise operations queue until their time is up, and those within the allowance are late or refused as well.
   const ended = await endings(account(1), 100)
   expect(ended.length).toBe(100)
-  // One more by the question that was under way as their time ended.
+  // One more from the request that was in progress when their time ended.
   expect(ended.filter(({ isGranted }) => isGranted).length).toBe(2 * PATIENCE_MS / ANSWER_MS + 1)
   expect(Math.max(...ended.map(({ at }) => at))).toBeLessThanOrEqual(2 * PATIENCE_MS + ANSWER_MS)
 })
 
-it('issuers that don\'t answer are waited for longer', async () => {
+it('operations wait longer while issuers don\'t answer', async () => {
   const ended = await endings(account(undefined), 3)
   expect(ended.map(({ isGranted }) => isGranted)).toEqual([false, false, false])
   expect(Math.min(...ended.map(({ at }) => at))).toBeGreaterThan(PATIENCE_MS)
--- a/src/shell/pool/allowance/allowances.ts
+++ b/src/shell/pool/allowance/allowances.ts
@@ -1,4 +1,4 @@
-/** The allowances of teams, as this host uses and issues them. */
+/** Takes and issues the tokens of team allowances on this host. */
 
 import { err, ok, type Result } from 'neverthrow'
 import type { AllowanceBounds } from '../../../core/allowance/bounds.ts'
@@ -20,69 +20,67 @@
 interface Options {
   readonly self: HostId
   readonly bounds: AllowanceBounds
-  /** Nothing is issued on older knowledge of who issues; milliseconds. */
+  /** Longest staleness of the shared table, in milliseconds, with which this host still issues tokens. */
   readonly trustMs: number
   readonly isFirstStart: boolean
-  /** When this process began, on the monotonic clock. */
+  /** When this process started, on the monotonic clock. */
   readonly bornAt: Instant
-  /** How old the knowledge of the shared table may be, in milliseconds. */
+  /** Staleness of the shared table, in milliseconds. */
   readonly ageMs: () => number
   readonly team: (id: TeamId) => Team | undefined
   readonly hosts: () => readonly PoolHost[]
   readonly port: TokenTransport
   readonly metrics: PoolMetrics
   readonly chance: () => number
-  /**
-   * The monotonic clock, for waits and for what gathers: it stands still while the host is suspended, and so never runs ahead. The other counts suspension, by a leap, and
-   * is for what lapses.
-   */
+  /** The monotonic clock, for waits and for accumulating tokens. It stops while the host is suspended. */
   readonly now: () => Instant
+  /** The clock that also counts the time for which the host was suspended, for expiry. */
   readonly age: () => Instant
   readonly pause: (ms: number) => Promise<void>
-  /** Once: this process starts anew at places that were this host's before. */
+  /** Called once, if this process restarted at places at which its host issued before. */
   readonly onStarted: (places: readonly number[]) => void
-  /** The host that should issue at the place answered, or didn't in time. */
+  /** Called when the issuer at a place answered, or didn't in time. */
   readonly onAskEnded: (place: number, isAnswered: boolean) => void
 }
 
 interface Waiter {
-  /** Until when it waits for a token that is known to come, */
+  /** Limit of the wait while it's known when the next token comes. */
   readonly until: Instant
-  /** for one that isn't known not to come, */
+  /** Limit of the wait while some tokens come. */
   readonly overdueAt: Instant
-  /** and for issuers that don't answer. */
+  /** Limit of the wait while issuers don't answer. */
   readonly last: Instant
   readonly answer: (taken: Result<Instant, number>) => void
 }
 
 interface Account {
   readonly tokens: TeamTokens
-  /** By which the places were worked out at which its tokens are asked for. */
+  /** The rate from which the places were computed at which its tokens are requested. */
   rate: Rate | undefined
-  /** The first that came first. */
+  /** In order of arrival. */
   readonly waiting: Waiter[]
   isAsking: boolean
-  /** When the next token comes, as far as that is known; past while some may be had. */
+  /** When the next token is expected; in the past while tokens may be available. */
   freeAt: Instant
-  /** Whether that is because an issuer didn't answer. */
+  /** Whether an issuer that didn't answer is the reason for waiting. */
   isSilent: boolean
 }
 
-/** An issuer answers within milliseconds; one that is busy with a start within this. Then another place is asked. Milliseconds. */
+/** Longest wait for an issuer's answer before another place is asked. */
 const ANSWER_MS = 100
-/** The least time to come back that a caller is told: a round trip. Milliseconds. */
+/** Shortest retry delay that a caller gets. */
 const MIN_RETRY_MS = 5
-/** A host that asks at a place that holds none of the team's shards asks there again after so long: by then it has the newer configuration, as a rule. Milliseconds. */
+/** Retry delay for a host that asks at a place without a shard of the team, because its configuration is outdated. */
 const WRONG_PLACE_RETRY_MS = 500
-/** While some tokens come an operation waits for so many times its patience. */
+/** Multiple of its patience for which an operation waits while some tokens come. */
 const OVERDUE_FACTOR = 2
-/** Operations a second; what a team without any is taken to get, for the time to come back. */
+/** Lower limit of a team's rate in the calculation of retry delays. */
 const MIN_RATE_PER_SECOND = 0.01
 
 export class Allowances {
   private issuers: IssuerTable | undefined
   private mandate: IssuerLease
-  /** Whether it was told that this process starts anew at places. */
+  /** Whether `onStarted` was called. */
   private hasStarted = false
   private readonly issuer = TokenIssuer.create()
   private readonly silence = IssuerBackOff.create()
@@ -99,7 +97,7 @@
     return new Allowances(options)
   }
 
-  /** The shared row says who issues. */
+  /** Takes in the shared row that names the issuers. */
   updateIssuers (text: string): void {
     const issuers = IssuerTable.decode(text)
     if (issuers === undefined) return
@@ -112,7 +110,7 @@
     this.options.onStarted(begun)
   }
 
-  /** The place was started anew for the first time in a window: its buckets began with their credit. */
+  /** Gives the buckets of a place their initial credit, once the store confirmed that they had none in this window. */
   credit (place: number): void {
     const now = this.options.now()
     const since = this.mandate.issuesSince(place, 0, now)
@@ -120,8 +118,8 @@
   }
 
   /**
-   * A token for one operation of the team, and until when it counts; or the milliseconds after which there is one. `patienceMs`: a token that comes within
-   * that is waited for, and one that is known not to isn't. `mostMs`: for so long issuers that don't answer are waited for, as after a power loss, when they start too.
+   * Takes a token for one operation of the team; resolves with its expiry, or with the retry delay in milliseconds. `patienceMs`: the
+   * longest wait for a token; without a wait if it's known to come later. `mostMs`: the longest wait while issuers don't answer, as when they start.
    */
   async take (team: Team, patienceMs: number, mostMs: number): Promise<Result<Instant, number>> {
     const account = this.accountOf(team)
@@ -138,7 +136,7 @@
     })
   }
 
-  /** One that is in hand; undefined when there is none. */
+  /** Takes a token that is at hand and returns its expiry; undefined if there is none. */
   takeAvailable (team: Team): Instant | undefined {
     return this.accountOf(team).tokens.take(this.options.age())
   }
@@ -150,7 +148,7 @@
   private accountOf (team: Team): Account {
     const { id } = team
     const known = this.accounts.get(id)
-    // Another allowance may lie in more shards, or in fewer.
+    // Another rate may have another number of shards.
     if (known !== undefined && known.rate !== team.rate) known.tokens.setPlaces(this.placesOf(team))
     if (known !== undefined) return Object.assign(known, { rate: team.rate })
     const account: Account = { rate: team.rate, tokens: TeamTokens.of(this.placesOf(team), this.silence, this.options.chance(), this.options.age()), waiting: [], isAsking: false, freeAt: -Infinity as Instant, isSilent: false }
@@ -175,7 +173,7 @@
     if (!isAsking && tokens.left(now) * 2 < tokens.prefetchCount(lifetimeMs, now)) this.ask(team, account)
   }
 
-  /** Asks one place after the other until those that wait have what they need, or there is nothing to be had. */
+  /** Requests tokens at one place after another until all waiting operations are served or refused. */
   private async ask (team: Team, account: Account): Promise<void> {
     const { tokens, waiting } = account
     const { lifetimeMs } = this.shardOf(team.rate!)
@@ -197,7 +195,7 @@
     account.isAsking = false
   }
 
-  /** Resolves with whether the place answered. */
+  /** Requests tokens at a place; resolves with whether it answered. */
   private async askAt (place: number, count: number, team: Team, { tokens }: Account, lifetimeMs: number): Promise<boolean> {
     const { hosts, port, metrics, onAskEnded: onAsked } = this.options
     const askedAt = this.options.age()
@@ -221,10 +219,9 @@
   }
 
   /**
-   * Guard against a team that asks more than its allowance and finds some tokens with each question: so it's never known that there are none, its
-   * operations wait for as long as they are many, and those that get a token at last have no time left to use it. It shows as a team that is served
-   * late or not at all, its allowed part with it. Whoever has waited for twice as long as it may is refused, while issuers answer: a team that keeps
-   * within its allowance finds its token in that time, also where it asks at some places in vain.
+   * Refuses operations that have waited for twice their patience while issuers answer. A team over its allowance may get some
+   * tokens with each request, so `refuseLate` doesn't apply, and its operations would get their tokens too late to use them.
+   * A team within its allowance gets its token in this time, even if some places have none.
    */
   private refuseOverdue ({ rate }: Team, account: Account, isAnswered: boolean): void {
     const now = this.options.age()
@@ -235,7 +232,7 @@
     for (const [i, { answer }] of overdue.entries()) answer(err(Math.max(MIN_RETRY_MS, Math.ceil((account.waiting.length + i) * perTokenMs))))
   }
 
-  /** Refuses those whose turn is known to come too late: the one behind so many others waits for as many tokens. */
+  /** Refuses operations whose token is known to come too late, given the number of operations before them. */
   private refuseLate ({ rate }: Team, account: Account): void {
     const { waiting, freeAt, isSilent } = account
     const now = this.options.age()
@@ -246,13 +243,13 @@
     for (const [i, { answer }] of late.entries()) answer(err(Math.max(MIN_RETRY_MS, Math.ceil(freeMs + (account.waiting.length + i) * perTokenMs))))
   }
 
-  /** What another host asked of this one; undefined when this one may not issue there. */
+  /** Answers a token request of another host; undefined if this host must not issue at the place. */
   private issue (id: TeamId, place: number, count: number): { readonly count: number, readonly nextMs: number } | undefined {
     const now = this.options.now()
     const since = this.mandate.issuesSince(place, this.options.ageMs(), now)
     const team = this.options.team(id)
     if (since === undefined || team?.rate === undefined) return undefined
-    // A host with another version of the configuration may take the place for one of the team's. It gets an answer, so that it doesn't take this host for silent.
+    // A host with another version of the configuration may ask at the wrong place. It gets an answer, so that it doesn't count this host as silent.
     if (!this.placesOf(team).includes(place)) return { count: 0, nextMs: WRONG_PLACE_RETRY_MS }
     return this.issuer.issue({ place, team: id, count, shard: this.shardOf(team.rate), since }, now)
   }
--- a/src/shell/pool/allowance/allowanceservice.ts
+++ b/src/shell/pool/allowance/allowanceservice.ts
@@ -1,4 +1,4 @@
-/** The allowances of teams on one host, and who issues their tokens. */
+/** Connects the allowances of teams on this host with the shared rows about their issuers. */
 
 import { setTimeout as pause } from 'node:timers/promises'
 import type { AllowanceBounds } from '../../../core/allowance/bounds.ts'
@@ -22,14 +22,14 @@
   readonly bounds: AllowanceBounds
   readonly port: TokenTransport
   readonly isFirstStart: boolean
-  /** Nothing is issued on older knowledge of who issues; milliseconds. */
+  /** Longest staleness of the shared table, in milliseconds, with which this host still issues tokens. */
   readonly trustMs: number
-  /** How old the knowledge of the shared table may be, in milliseconds. */
+  /** Staleness of the shared table, in milliseconds. */
   readonly ageMs: () => number
   readonly team: (id: TeamId) => Team | undefined
   readonly hosts: () => readonly PoolHost[]
   readonly store: RowStore
-  /** Where the row lies that says who issues. */
+  /** The store table that all hosts share. */
   readonly table: string
   readonly log: Log
   readonly metrics: PoolMetrics
@@ -37,7 +37,7 @@
   readonly signal: AbortSignal
 }
 
-/** When hosts began to issue tokens. */
+/** Store table of the times at which issuers started. */
 const STARTS_TABLE = 'agatepond-starts'
 
 export class AllowanceService {
@@ -66,14 +66,14 @@
     return new AllowanceService(options)
   }
 
-  /** A row of the shared table. */
+  /** Takes in a row of the shared table; ignores rows of other kinds. */
   applySharedRow (row: Row): void {
     if (row.key !== IssuerRegistry.key) return
     this.issuers.update(row)
     if (row.value !== undefined) this.allowances.updateIssuers(row.value)
   }
 
-  /** Looks whether the hosts that issue are there. */
+  /** Checks that the issuers answer. */
   tick (): void {
     this.issuers.tick()
   }
--- a/src/shell/pool/allowance/issuerregistry.ts
+++ b/src/shell/pool/allowance/issuerregistry.ts
@@ -1,4 +1,4 @@
-/** Keeps the shared row that says which hosts issue the tokens of teams. */
+/** Maintains the shared row that names the hosts which issue the tokens of teams. */
 
 import { IssuerTable } from '../../../core/allowance/issuertable.ts'
 import type { HostId } from '../../../core/id/host.ts'
@@ -14,20 +14,20 @@
   readonly store: RowStore
   readonly table: string
   readonly hosts: () => ReadonlyArray<{ readonly id: HostId }>
-  /** Whoever is named in place of another waits for about so long before it issues; milliseconds. */
+  /** Milliseconds for which a host that replaces another issuer waits before it issues. */
   readonly trustMs: number
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly signal: AbortSignal
 }
 
-/** The key of the row. */
+/** Key of the shared row. */
 const KEY = 'issuers'
-/** Hosts that start together are all known after this. Milliseconds. */
+/** Delay before the first issuers are named, so that hosts that start together know each other. */
 const FIRST_ISSUERS_MS = 2000
-/** The next in the order writes the first row so much later. Milliseconds. */
+/** Additional delay for each host before this one in the order of ids. */
 const TURN_MS = 1000
-/** A process that is started again is back before this, and goes on issuing in its place. Milliseconds. */
+/** Silence after which an issuer is replaced; a restarted process is back before. */
 const GONE_MS = 5000
 
 export class IssuerRegistry {
@@ -35,7 +35,7 @@
   private version = 0
   private changedAt: Instant
   private issuers: IssuerTable | undefined
-  /** Since when places didn't answer this host. */
+  /** Places that don't answer this host, and since when. */
   private readonly silentSince = new Map<number, Instant>()
   private isWriting = false
 
@@ -47,7 +47,7 @@
     return new IssuerRegistry(options)
   }
 
-  /** The row is known in a new version. */
+  /** Takes in a new version of the row. */
   update ({ version, value }: Row): void {
     this.version = value === undefined ? 0 : version
     this.issuers = value === undefined ? undefined : IssuerTable.decode(value)
@@ -63,12 +63,12 @@
     if (!this.silentSince.has(place)) this.silentSince.set(place, clock.now())
   }
 
-  /** Called now and then while teams have allowances and the shared table is known. */
+  /** Must be called regularly while teams have allowances and the shared table is known. */
   tick (): void {
     if (this.isWriting) return
     const now = clock.now()
     if (this.issuers === undefined) return this.nameFirst(now)
-    // Whoever was named last may still be waiting, and can't answer yet.
+    // An issuer that was named recently may still be waiting, and doesn't answer yet.
     if (now - this.changedAt < this.options.trustMs + GONE_MS) return
     const gone = [...this.silentSince].find(([, since]) => now - since >= GONE_MS)
     if (gone === undefined) return
--- a/src/shell/pool/allowance/issuerstarts.ts
+++ b/src/shell/pool/allowance/issuerstarts.ts
@@ -1,4 +1,4 @@
-/** When hosts last began to issue with credit, as the store keeps it. */
+/** Records in the store when issuers last started with an initial credit. */
 
 import * as z from 'zod'
 import { readJson } from '../../../core/readjson.ts'
@@ -15,15 +15,15 @@
   readonly signal: AbortSignal
 }
 
-/** `atMs`: what the store's clock showed. */
+/** `atMs`: time of the start by the store's clock. */
 const shape = z.object({ atMs: z.number() })
-/** A credit counts from an answer of the store to the acknowledgement of the row, which must not take longer. Milliseconds. */
+/** Longest time from reading the rows to the acknowledgement of the claim. */
 const MAX_CLAIM_MS = 1000
 
 /**
- * Guard against callers who are refused in the second after a power loss, although their teams have hardly asked for anything: an issuer
- * that starts anew doesn't know what its life before issued, so its buckets begin empty. A part of the tolerance covers what it may begin with, once in a window; that this is the first
- * time is what the store's row shows. So an issuer that is started again and again has its credit once, and without the store none.
+ * A restarted issuer doesn't know what it issued before, so its buckets start empty and its teams would be refused at first.
+ * The tolerance of allowances covers an initial credit once per window. The store's row limits it to once for an issuer that
+ * restarts repeatedly; without the store there is no credit.
  */
 export class IssuerStarts {
   private constructor (private readonly options: Options) {}
@@ -32,7 +32,7 @@
     return new IssuerStarts(options)
   }
 
-  /** Resolves with the places that may begin with their credit. */
+  /** Claims the credit of places; resolves with those that may start with it. */
   async claim (places: readonly number[]): Promise<readonly number[]> {
     const { store, table, windowMs, metrics, signal } = this.options
     const began = clock.now()
--- a/src/shell/pool/allowance/tokenport.ts
+++ b/src/shell/pool/allowance/tokenport.ts
@@ -1,4 +1,4 @@
-/** Questions for tokens between hosts, as datagrams. */
+/** Token requests between hosts as UDP datagrams. */
 
 import { createSocket, type Socket } from 'node:dgram'
 import * as z from 'zod'
@@ -13,12 +13,12 @@
 
 const questionShape = z.object({ ask: z.int(), team: z.string(), place: z.int().nonnegative(), count: z.int().positive() })
 const answerShape = z.object({ answer: z.int(), count: z.int().nonnegative(), nextMs: z.number() })
-/** JSON has no infinity. */
+/** Stands for infinity, which JSON can't express. */
 const NEVER_MS = 1e9
 
 /**
- * Datagrams, in place of a stream for each pair of hosts: a question and its answer are a few dozen bytes, one that is lost is asked
- * elsewhere, and one that comes late is known by its number and does no harm.
+ * Uses datagrams instead of a stream for each pair of hosts: a lost request is sent to another issuer, and a late answer is
+ * recognised by its number and ignored.
  */
 export class TokenPort implements TokenTransport {
   private readonly open = new Map<number, (answer: TokenGrant | undefined) => void>()
--- a/src/shell/pool/allowance/tokentransport.ts
+++ b/src/shell/pool/allowance/tokentransport.ts
@@ -1,4 +1,4 @@
-/** How hosts ask each other for tokens. */
+/** Transport of token requests between hosts. */
 
 import type { TeamId } from '../../../core/id/team.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
@@ -16,8 +16,8 @@
 }
 
 export interface TokenTransport {
-  /** Who answers what other hosts ask; with undefined nothing is sent. */
+  /** Sets the handler for requests of other hosts. No answer is sent if it returns undefined. */
   onRequest (answerer: (team: TeamId, place: number, count: number) => TokenGrant | undefined): void
-  /** Resolves with the answer, or with undefined when none came in time. */
+  /** Resolves with the answer, or with undefined if none came within `timeoutMs`. */
   ask (host: PoolHost, asked: TokenRequest, timeoutMs: number): Promise<TokenGrant | undefined>
 }
--- a/src/shell/pool/connections/attempt.ts
+++ b/src/shell/pool/connections/attempt.ts
@@ -1,4 +1,4 @@
-/** One try to run a statement on a connection, and what its answers show of the endpoint. */
+/** Runs statements on a borrowed connection, and records what their answers show about the endpoint. */
 
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { Ending } from '../../../core/pool/statements/ending.ts'
@@ -11,11 +11,11 @@
 import type { ConnectionSource } from './connectionsource.ts'
 import type { PlaceTicket } from './placeticket.ts'
 
-/** A connection on loan, with what it belongs to. */
+/** A borrowed connection with its group and its source. */
 export class Attempt {
   private constructor (readonly group: PoolGroup, readonly source: ConnectionSource, readonly link: EndpointLink, private readonly gate: Gate | undefined) {}
 
-  /** `gate`: what callers' statements go through; undefined where another host looks after that, and for this process's own. */
+  /** `gate`: checks callers' statements; undefined if another host checks them, and for this process's own statements. */
   static on (group: PoolGroup, loans: ConnectionSource, link: EndpointLink, gate?: Gate): Attempt {
     return new Attempt(group, loans, link, gate)
   }
@@ -25,9 +25,8 @@
   }
 
   /**
-   * Sends the commands at once; resolves with the answer to the one at `index`,
-   * or with how it ended without one. `isLead`: whether its success proves that the
-   * endpoint leads.
+   * Sends the commands without waiting between them; resolves with the answer to the one at `index`, or with how it ended
+   * without one. `isLead`: whether its success proves that the endpoint is the primary.
    */
   async ask (commands: readonly Command[], index: number, timeoutMs: number, isLead: boolean): Promise<Answer | Ending> {
     const isOwn = !commands.some(isCallerCommand)
@@ -46,15 +45,15 @@
   }
 
   /**
-   * Whether the statement has its place in time, and still its connection. One whose connection ended while it waited was never sent: that is
-   * "not run", where a connection that ends later leaves a write in doubt.
+   * Waits for the place; resolves with whether the statement can be sent in time and on an open connection. A statement whose
+   * connection ended before it was sent counts as not run, while one that ends later leaves a write in doubt.
    */
   private async waitForPlace (ticket: PlaceTicket, timeoutMs: number): Promise<boolean> {
     const until = clock.now() + timeoutMs
     const isGranted = await ticket.granted
     if (isGranted && this.link.isOpen && clock.now() < until) return true
     ticket.returnPlace('notSent')
-    // A broken connection may be the first sign that the endpoint is gone.
+    // A broken connection may be the first sign that the endpoint is down.
     if (!this.link.isOpen) this.group.recordNoAnswer(this.endpoint)
     return false
   }
@@ -74,17 +73,14 @@
     return answer.fault ?? answer
   }
 
-  /** Gives the connection back; a transaction that is open on it is rolled back first. */
+  /** Returns the connection to its source, after rolling back an open transaction. */
   release (): void {
     const { link, source: loans } = this
     if (!link.isOpen || !link.isInTransaction) return loans.returnLink(link)
     link.ask([{ kind: 'rollback' }], ROLLBACK_MS).then(() => loans.returnLink(link))
   }
 
-  /**
-   * Against a statement that ran under values that weren't taken: what is set on
-   * the connection isn't known any more, and the answer isn't passed on.
-   */
+  /** Closes the connection after a failed prelude: its session values are unknown, and the statement may have run with wrong ones. */
   private closeUnknownState (): Ending {
     this.link.close()
     return 'broken'
@@ -101,5 +97,5 @@
   return 'id' in command
 }
 
-/** A rollback takes no place in the endpoint's queue: without an answer after this the connection is silent. */
+/** Longest wait for a rollback, which doesn't wait in the endpoint's queue. */
 const ROLLBACK_MS = 1000
--- a/src/shell/pool/connections/borrowrequest.ts
+++ b/src/shell/pool/connections/borrowrequest.ts
@@ -1,4 +1,4 @@
-/** An operation that waits for a connection to an endpoint. */
+/** A request of an operation for a connection to an endpoint. */
 
 import type { Result } from 'neverthrow'
 import type { Instant } from '../../../core/id/instant.ts'
@@ -8,18 +8,18 @@
 
 interface Wish {
   readonly rank: number
-  /** Who shares fairly with others. */
+  /** The unit of fair sharing. */
   readonly caller: string
-  /** Whose connections serve it; undefined where they serve anybody. */
+  /** The team whose connections serve it; undefined where connections serve anyone. */
   readonly team: TeamId | undefined
-  /** Milliseconds in which the operation is to be done. */
+  /** Milliseconds until the operation's deadline. */
   readonly leftMs: number
-  /** Milliseconds within which it's best started; none are left once they are negative. */
+  /** Milliseconds within which it must start to meet its latency aim; negative once that has passed. */
   readonly aimMs?: number
   readonly isTransaction: boolean
-  /** A connection in the same state is preferred. */
+  /** Session values; a connection with the same values is preferred. */
   readonly values: SessionState
-  /** Aborted once nobody waits for it any more; undefined where it's lent all the same. */
+  /** Aborted once the caller no longer waits; undefined where the request isn't cancelled then. */
   readonly gone?: AbortSignal | undefined
 }
 
--- a/src/shell/pool/connections/connectionpool.test.ts
+++ b/src/shell/pool/connections/connectionpool.test.ts
@@ -18,16 +18,16 @@
 import type { EndpointLink } from './link.ts'
 import { Places } from './places.ts'
 
-// The clock of the process isn't among what the test's timers replace.
+// Fake timers don't replace the clock of the process.
 vi.mock('../clock.ts', () => ({ clock: { now: () => Date.now(), age: () => Date.now() } }))
 
 const ENDPOINT = { id: 'e0', places: 1 } as unknown as Endpoint
-/** Another owner that is heard and has nothing at the endpoint, so that one place and one to spare are this host's. */
+/** Another owner that reports no load, so that this host has one place and a spare one. */
 const IDLE: OthersLoad = { at: () => ({ owners: 1, atWork: 0, waiting: 0, answerMs: undefined, failing: 0 }) }
 const DONE = { rows: '', proof: 'p', fault: undefined, transaction: 'none', position: undefined } as unknown as Answer
 const READ: Command = { kind: 'read', id: 'r', args: '1' }
 
-/** A connection that answers when the test says so. */
+/** A connection that answers when the test calls `answer`. */
 class FakeLink implements EndpointLink {
   readonly values = SessionState.empty()
   isOpen = true
@@ -56,12 +56,12 @@
   }
 }
 
-/** A lender of so many connections, and those that it opened. */
+/** A connection pool of a given size, with the connections that it opened. */
 class Bench {
   readonly links: FakeLink[] = []
   readonly lender: ConnectionPool
   dialMs = 0
-  /** Signs that the endpoint is gone. */
+  /** Number of calls to `recordNoAnswer`. */
   missed = 0
 
   constructor (connections: number, hasRoom = true, endpoint = ENDPOINT) {
@@ -89,7 +89,7 @@
     return lent._unsafeUnwrap() as FakeLink
   }
 
-  /** Sends a read, and puts down how it ended. */
+  /** Sends a read; `ending` is set once it has ended. */
   read (link: FakeLink, timeoutMs = 500): { ending: unknown } {
     const group = { asked: () => {}, answered: () => {}, missed: () => { this.missed++ }, reads: { sent: () => undefined } } as unknown as PoolGroup
     const result: { ending: unknown } = { ending: 'open' }
@@ -97,7 +97,7 @@
     return result
   }
 
-  /** So many reads on connections of their own. */
+  /** Sends reads, each on its own connection. */
   async reads (count: number): Promise<Array<{ link: FakeLink, result: { ending: unknown } }>> {
     const links: FakeLink[] = []
     for (let i = 0; i < count; i++) links.push(await settled(this.borrow('red')))
@@ -115,8 +115,8 @@
 beforeEach(() => { vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'Date'] }) })
 afterEach(() => { vi.useRealTimers() })
 
-describe('a statement and its place', () => {
-  it('goes out when a place is free, and not before', async () => {
+describe('a statement at an endpoint with a limited number of places', () => {
+  it('is sent once a place is free, and not before', async () => {
     const [first, second, third] = await new Bench(4).reads(3) as [Awaited<ReturnType<Bench['reads']>>[0], ...Awaited<ReturnType<Bench['reads']>>]
     expect([first.link.sent, second!.link.sent, third!.link.sent]).toEqual([1, 1, 0])
     first.link.answer([DONE])
@@ -124,16 +124,15 @@
     expect([first.result.ending, third!.link.sent]).toEqual(['done', 1])
   })
 
-  it.each([['owners aren\'t picked', false, ENDPOINT], ['the endpoint doesn\'t tell its places', true, { ...ENDPOINT, places: undefined }]])('it needs none where %s', async (_name, hasRoom, endpoint) => {
+  it.each([['owners aren\'t assigned', false, ENDPOINT], ['the endpoint doesn\'t report its places', true, { ...ENDPOINT, places: undefined }]])('needs no place where %s', async (_name, hasRoom, endpoint) => {
     const bench = new Bench(5, hasRoom, endpoint)
     const reads = await bench.reads(4)
     expect(reads.map(({ link }) => link.sent)).toEqual([1, 1, 1, 1])
     expect(bench.lender.load).toBeUndefined()
   })
 
-  it('one that gets none in its time was not run', async () => {
-    // A caller is told that a write may have run, and looks for it for hours, though nobody sent it anywhere.
-    // The endpoint hangs with statements at all of its places, and another one waits for a place until its time is up.
+  it('counts as not run if it gets no place in time', async () => {
+    // A write that was never sent must not be reported as one that may have run.
     const bench = new Bench(4)
     const [first, , third] = await bench.reads(3)
     await vi.advanceTimersByTimeAsync(500)
@@ -141,9 +140,8 @@
     expect(bench.lender.load).toMatchObject({ atWork: 0, waiting: 0 })
   })
 
-  it('one whose connection breaks while it waits was not run either', async () => {
-    // The same doubt about a write that was never sent.
-    // The connection that it is to go out on breaks before a place is free for it.
+  it('counts as not run if its connection breaks while it waits for a place', async () => {
+    // A write that was never sent must not be reported as one that may have run.
     const bench = new Bench(4)
     const [, , third] = await bench.reads(3)
     third!.link.close()
@@ -152,7 +150,7 @@
     expect(bench.lender.load).toMatchObject({ atWork: 2, waiting: 0 })
   })
 
-  it('one whose connection had broken before was not run either, and gives its place back', async () => {
+  it('counts as not run and returns its place if its connection was broken before', async () => {
     const bench = new Bench(4)
     const link = await settled(bench.borrow('red'))
     link.close()
@@ -162,9 +160,9 @@
   })
 
   it.each<[string, (bench: Bench) => void]>([
-    ['is out of reach', ({ lender }) => lender.refuseWaiting()],
-    ['starts anew', ({ lender }) => lender.close()]
-  ])('an endpoint that %s ends the wait of all', async (_name, happen) => {
+    ['is unreachable', ({ lender }) => lender.refuseWaiting()],
+    ['was replaced', ({ lender }) => lender.close()]
+  ])('stops waiting for a place if the endpoint %s', async (_name, happen) => {
     const bench = new Bench(4)
     const [, , third] = await bench.reads(3)
     happen(bench)
@@ -172,9 +170,8 @@
     expect([third!.result.ending, third!.link.sent]).toEqual(['busy', 0])
   })
 
-  it('a commit without a place is followed by a rollback', async () => {
-    // A caller is told that nothing is kept, and the next transaction on the connection commits what the last one wrote.
-    // Its commit has no place in time and isn't sent; the transaction stays open on the connection.
+  it('is rolled back if it\'s a commit that gets no place', async () => {
+    // The transaction is still open on the connection, and the next one on it would commit its writes.
     const bench = new Bench(4)
     const [, , third] = await bench.reads(3)
     third!.link.isInTransaction = true
@@ -187,8 +184,8 @@
     expect(third!.link.isOpen).toBe(false)
   })
 
-  it('an endpoint that changes its places', async () => {
-    // Statements wait though the endpoint that was made larger has places for them.
+  it('is sent when the endpoint gets more places', async () => {
+    // Statements must not wait while an enlarged endpoint has places for them.
     const bench = new Bench(5)
     const reads = await bench.reads(4)
     expect(reads.map(({ link }) => link.sent)).toEqual([1, 1, 0, 0])
@@ -198,9 +195,8 @@
 })
 
 describe('connections that serve one team each', () => {
-  it('a team\'s own connection that is soon back is waited for', async () => {
-    // Most connections serve one statement and are closed for another team's, which opens one again: openings take more of the endpoint than statements.
-    // Two teams share an owner with few connections; the one sends a second statement while the first is under way.
+  it('a request waits for its team\'s connection if that is returned soon', async () => {
+    // Otherwise teams that share few connections close each other's, and openings cost the endpoint more than statements.
     const bench = new Bench(2)
     const red = await settled(bench.borrow('red'))
     bench.lender.returnLink(await settled(bench.borrow('blue')))
@@ -211,8 +207,8 @@
     expect(bench.links).toHaveLength(2)
   })
 
-  it('the connection of the team that uses its own least is closed', async () => {
-    // A busy team's connection is closed for a rare one's, since it was unused for some milliseconds longer.
+  it('the connection of the team with the least use is closed', async () => {
+    // The least recently used connection may belong to a busy team.
     const bench = new Bench(3)
     for (let i = 0; i < 5; i++) bench.lender.returnLink(await settled(bench.borrow('busy')))
     bench.lender.returnLink(await settled(bench.borrow('rare')))
@@ -221,8 +217,8 @@
     expect(bench.links.filter(({ isOpen }) => !isOpen).map(({ team }) => team)).toEqual(['rare'])
   })
 
-  it('openings leave places to statements', async () => {
-    // Statements on connections that are there wait behind openings, of which a queue brings ever more.
+  it('openings leave places for statements', async () => {
+    // Statements on open connections must not wait behind openings, which increase with the length of the queue.
     const bench = new Bench(6)
     const there = await settled(bench.borrow('red'))
     bench.dialMs = 50
--- a/src/shell/pool/connections/connectionpool.ts
+++ b/src/shell/pool/connections/connectionpool.ts
@@ -1,4 +1,4 @@
-/** The connections of this host to one endpoint, lent to one operation at a time as admission decides. */
+/** Pool of this host's connections to one endpoint. Each is used by one operation at a time, in the order that admission decides. */
 
 import { err, ok } from 'neverthrow'
 import type { AdmissionAction } from '../../../core/admission/action.ts'
@@ -32,9 +32,9 @@
 interface Loan {
   readonly id: number
   readonly wish: BorrowRequest['wish']
-  /** Until when it's best started; undefined where that plays no part. */
+  /** Latest start at which the operation meets its latency aim; undefined where aims aren't considered. */
   readonly aim: Instant | undefined
-  /** Its last order for a place at the endpoint; undefined before the first. */
+  /** The ticket of its last place request; undefined before the first. */
   ticket?: PlaceTicket
 }
 
@@ -42,18 +42,18 @@
   readonly endpoint: Endpoint
   readonly dialer: Dialer
   readonly share: EndpointShare
-  /** Begins to count this host's part of so many places of the endpoint. */
+  /** Creates the `Places` for this host's part of the endpoint's places. */
   readonly count: (places: number, queued: () => number) => Places
   readonly chance: () => number
-  /** Whether connections are scarce as it begins. */
+  /** Initial state of how scarce connections are. */
   readonly thrift: ConnectionScarcity
-  /** Told of each try to open a connection. */
+  /** Called with the outcome of each try to open a connection. */
   readonly onDialEnded: (outcome: 'opened' | DialFault) => void
 }
 
-/** How often waiting operations are looked through; a tenth of the shortest aim that callers have. */
+/** Interval of checking waiting operations: a tenth of the shortest latency aim. */
 const TICK_MS = 10
-/** The time to come back to an endpoint that is out of reach: about the time in which a successor is found. */
+/** Retry delay for an unreachable endpoint: about the time in which another primary is found. */
 const UNREACHABLE_RETRY_MS = 500
 
 export class ConnectionPool implements ConnectionSource {
@@ -62,13 +62,13 @@
   private readonly loans = new Map<EndpointLink, Loan>()
   private readonly waiting = new Map<number, BorrowRequest>()
   private nextId = 1
-  /** Unused connections that are given up unless they are lent before. */
+  /** Idle connections that are closed unless they are borrowed before. */
   private readonly idleTimeouts = IdleTimeouts.create(link => this.drop(link))
   private readonly ticker = Ticker.create(TICK_MS, () => this.step({ kind: 'tick' }))
   private isClosed = false
   private limit: number
   private thrift: ConnectionScarcity
-  /** Undefined where every host connects by itself, and where the endpoint doesn't tell its places. */
+  /** Undefined where owners aren't assigned, or the endpoint doesn't report its places. */
   private places: Places | undefined
   private readonly openings = OpeningQueue.create<BorrowRequest>()
   private readonly dialer: EndpointDialer
@@ -86,19 +86,19 @@
     return new ConnectionPool(options)
   }
 
-  /** What an operation that comes now would find: those that wait for a connection or a place, and 1 when no connection is free or can be opened. */
+  /** The queue that a new operation would find: those that wait for a connection or a place, plus 1 if no connection is idle or can be opened. */
   get queued (): number {
     const { idle, running, pending } = this.admission.counts
     return this.admission.queued + (this.places?.waiting ?? 0) + (idle === 0 && running + pending >= this.limit ? 1 : 0)
   }
 
-  /** For operators: `atWork` has the transactions in it that are between two statements. */
+  /** For operators; `atWork` includes open transactions that are between two statements. */
   get stats (): { readonly connections: number, readonly atWork: number, readonly waiting: readonly number[] } {
     const { openConnections: open, counts, queuedByClass } = this.admission
     return { connections: open, atWork: counts.running, waiting: queuedByClass }
   }
 
-  /** Whether a connection of the team is unused. */
+  /** Whether the team has an idle connection. */
   hasIdle (team: TeamId): boolean {
     return this.idle.hasTeam(team)
   }
@@ -107,7 +107,7 @@
     return this.options.endpoint
   }
 
-  /** What this host has at the endpoint; undefined where it doesn't count that. */
+  /** This host's load at the endpoint; undefined where it isn't counted. */
   get load (): EndpointLoad | undefined {
     return this.places?.load()
   }
@@ -121,7 +121,7 @@
     return loan.ticket
   }
 
-  /** Takes another share of the endpoint's connections. `places`: as the endpoint tells. */
+  /** Changes this host's share of the endpoint's connections. `places`: as the endpoint reports. */
   resize ({ connections, hasRoom }: EndpointShare, places: number | undefined): void {
     this.countPlaces(hasRoom ? places : undefined)
     if (connections === this.limit) return
@@ -130,7 +130,7 @@
     while (this.admission.openConnections > connections && this.idle.size > 0) this.drop(this.idle.all[0]!)
   }
 
-  /** Resolves always: a connection that nobody else uses until it's given back, or why there is none. */
+  /** Resolves with a connection for exclusive use until it's returned, or with why there is none; never rejects. */
   async borrow (wish: BorrowRequest['wish']): Promise<BorrowResult> {
     if (this.isClosed) return err({ reason: 'unreachable', retryAfterMs: 0 })
     const giveUp = () => this.giveUp(wish)
@@ -154,16 +154,12 @@
     if (this.idle.has(link)) this.idleTimeouts.rest(link, this.thrift.idleTimeoutMs(clock.now()))
   }
 
-  /**
-   * Closes the connections that nobody uses. Against connections that went
-   * silent without a reset: one that gave no answer in time shows it, and the
-   * others would each cost an operation its time.
-   */
+  /** Closes the idle connections. After one timed out, the others may be dead as well without a reset, and would each cost an operation its time. */
   closeIdle (): void {
     for (const link of this.idle.all) this.drop(link)
   }
 
-  /** Tells all that wait that the endpoint is out of reach, as soon as that is known. */
+  /** Refuses all waiting operations, because the endpoint is unreachable. */
   refuseWaiting (): void {
     for (const [id, waiter] of [...this.waiting]) {
       this.waiting.delete(id)
@@ -193,12 +189,12 @@
     this.step({ kind: 'arrived', request: { id, rank, caller: caller as CallerId, deadline, aim: this.aimOf(waiter), isTransaction } })
   }
 
-  /** Where this host counts places it decides by aims as well; elsewhere first come, first served. */
+  /** Latency aims are considered only where this host counts places; elsewhere operations are served in order of arrival. */
   private aimOf ({ wish: { leftMs, aimMs }, deadline }: Pick<BorrowRequest, 'wish' | 'deadline'>): Instant | undefined {
     return this.places === undefined || aimMs === undefined ? undefined : deadline - leftMs + aimMs as Instant
   }
 
-  /** Against a place in the queue, and perhaps a new connection, for an operation that nobody waits for. */
+  /** Removes an operation from the queue that its caller no longer waits for. */
   private giveUp (wish: BorrowRequest['wish']): void {
     const [id, waiter] = [...this.waiting].find(([, one]) => one.wish === wish) ?? []
     if (id === undefined || waiter === undefined) return
@@ -222,7 +218,7 @@
       waiter?.answer(err({ reason: action.reason, retryAfterMs: action.retryAfterMs }))
       return
     }
-    // Given up while it had its turn.
+    // The operation was cancelled while its turn came.
     if (waiter === undefined) return this.step({ kind: 'finished', id: action.id, isUsable: true })
     const { team, values } = waiter.wish
     const link = this.idle.take(team, values)
@@ -238,7 +234,7 @@
     answer(ok(link))
   }
 
-  /** A connection that serves one team is opened once it's known for which: whose turn it is, admission decides as soon as there is room. */
+  /** Where connections belong to teams, only reports room to admission; the connection is opened when admission has chosen the operation. */
   private open (): void {
     const [first] = this.waiting.values()
     if (first?.wish.team !== undefined) return this.step({ kind: 'opened', isVacant: true })
@@ -249,10 +245,7 @@
     })
   }
 
-  /**
-   * Opens a connection for a request that was started without one of its team. Where no room is left, that of a connection which
-   * nobody uses is taken.
-   */
+  /** Opens a connection for an admitted operation whose team has none idle; closes an idle one of another team if there is no room. */
   private async openFor (waiter: BorrowRequest): Promise<void> {
     const { places } = this
     const ticket = places === undefined ? undefined : await this.waitForOpening(places, waiter)
@@ -266,7 +259,7 @@
       return this.step({ kind: 'dialled' })
     }
     this.step({ kind: 'finished', id, isUsable: false })
-    // Room that is left is none any more, so that what comes isn't sent the same way at once.
+    // Gives up unused room, so that the next operations don't try to open a connection at once.
     const vacant = this.admission.counts.idle - this.idle.size
     if (vacant > 0) this.step({ kind: 'lost', count: vacant })
     if (!isEndpointFull(dialled.error)) {
@@ -286,7 +279,7 @@
     else this.idle.takeLeastUsed(clock.now())?.close()
   }
 
-  /** Resolves with a place for the opening; undefined once the request is served or refused without. */
+  /** Resolves with a place for the opening, or with undefined if the request was served or refused otherwise. */
   private async waitForOpening (places: Places, waiter: BorrowRequest): Promise<PlaceTicket | undefined> {
     const { id, wish: { team }, answer } = waiter
     const own = [...this.loans.values()].filter(({ wish }) => wish.team === team).length
--- a/src/shell/pool/connections/connectionsource.ts
+++ b/src/shell/pool/connections/connectionsource.ts
@@ -1,4 +1,4 @@
-/** Where a connection on loan comes from. */
+/** Source of borrowed connections, to which they are returned. */
 
 import type { Endpoint } from '../../../core/directory/endpoint.ts'
 import type { EndpointLink } from './link.ts'
@@ -6,9 +6,9 @@
 
 export interface ConnectionSource {
   readonly endpoint: Pick<Endpoint, 'id'>
-  /** Asks for a place at the endpoint for a statement on the connection; undefined where none is needed. */
+  /** Requests a place at the endpoint for a statement on the connection; undefined if none is needed. */
   requestPlace (link: EndpointLink, leftMs: number): PlaceTicket | undefined
   returnLink (link: EndpointLink): void
-  /** One connection gave no answer in time, so the unused ones may be silent as well. */
+  /** Closes the idle connections, called after an answer timed out. */
   closeIdle (): void
 }
--- a/src/shell/pool/connections/dialer.ts
+++ b/src/shell/pool/connections/dialer.ts
@@ -10,10 +10,10 @@
 
 export interface Dialer {
   /**
-   * Resolves always, within the time. Proves that the endpoint is the one named: addresses are used again. `team`: whom the endpoint is told that the
-   * connection serves; undefined for this process's own.
+   * Resolves within the time limit and never rejects. Verifies the identity of the endpoint, since addresses are reused. `team`: the team
+   * that the connection serves, as announced to the endpoint; undefined for this process's own connections.
    */
   dial (endpoint: Endpoint, team: TeamId | undefined, timeoutMs: number): Promise<Result<EndpointLink, DialFault>>
-  /** The same to a host that runs statements of the database at an endpoint which it reaches. `version`: the configuration that this host has in force; `key`: the caller's. */
+  /** Connects to a host that forwards statements of the database to an endpoint. `version`: this host's configuration version; `key`: the caller's key. */
   dialHost (host: PoolHost, database: string, version: number, key: KeyDigest | undefined, timeoutMs: number): Promise<Result<EndpointLink, DialFault>>
 }
--- a/src/shell/pool/connections/dialfault.ts
+++ b/src/shell/pool/connections/dialfault.ts
@@ -1,8 +1,7 @@
-/** Why no connection to an endpoint was opened. */
+/** Reasons for which a connection to an endpoint wasn't opened. */
 
 /**
- * `wrongEndpoint`: another endpoint answers at the address. `turnedAway`: the
- * connection was taken and then ended without a word, as by an endpoint that has
- * too many and whose refusal was lost with the reset.
+ * `wrongEndpoint`: another endpoint answers at the address. `turnedAway`: the connection was accepted and then closed without
+ * an answer, for example by an endpoint with too many connections whose refusal was lost in the reset.
  */
 export type DialFault = 'unreachable' | 'wrongEndpoint' | 'tooManyConnections' | 'turnedAway'
--- a/src/shell/pool/connections/endpointdialer.ts
+++ b/src/shell/pool/connections/endpointdialer.ts
@@ -10,13 +10,13 @@
 interface Options {
   readonly endpoint: Endpoint
   readonly dialer: Dialer
-  /** Told of each try. */
+  /** Called with the outcome of each try. */
   readonly onDialEnded: (outcome: 'opened' | DialFault) => void
   readonly onOpened: (link: EndpointLink, team: TeamId | undefined) => void
   readonly onEnded: (link: EndpointLink) => void
 }
 
-/** An opening takes a handshake and a place in the endpoint's queue; one that takes longer than this has failed. */
+/** Longest time for opening a connection, including the handshake and the wait in the endpoint's queue. */
 const DIAL_MS = 1000
 
 export class EndpointDialer {
@@ -28,7 +28,7 @@
     return new EndpointDialer(options)
   }
 
-  /** `team`: whom the connection serves; undefined for one that serves anybody. */
+  /** `team`: the team that the connection serves; undefined for a connection that serves anyone. */
   async dial (team: TeamId | undefined): Promise<Result<EndpointLink, DialFault>> {
     const { dialer, endpoint, onDialEnded: onDialled, onOpened, onEnded } = this.options
     const dialled = await dialer.dial(endpoint, team, DIAL_MS)
@@ -44,7 +44,7 @@
     return dialled
   }
 
-  /** What is opened from now on is closed at once. */
+  /** From now on, closes connections as soon as they are opened. */
   close (): void {
     this.isClosed = true
   }
--- a/src/shell/pool/connections/endpointshare.ts
+++ b/src/shell/pool/connections/endpointshare.ts
@@ -1,13 +1,13 @@
-/** What this host has of each endpoint's connections. */
+/** This host's share of the connections to each endpoint of a group. */
 
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 
 export interface EndpointShare {
   readonly connections: number
-  /** A host that is no owner uses its one connection only when no owner is reached. */
+  /** A host that isn't an owner uses its one connection only if it reaches no owner. */
   readonly isOwner: boolean
-  /** Whether the living fit beside as many dead, so that none is scarce after a power loss. */
+  /** Whether the endpoints have room for as many connections again, so that they aren't scarce after a power loss of all hosts. */
   readonly hasRoom: boolean
-  /** The other owners, where some hosts are picked and this is one of them. */
+  /** The other owners, if owners were assigned and this host is one; otherwise empty. */
   readonly otherOwners: readonly PoolHost[]
 }
--- a/src/shell/pool/connections/idlelinks.ts
+++ b/src/shell/pool/connections/idlelinks.ts
@@ -1,4 +1,4 @@
-/** The connections to one endpoint that nobody uses now. */
+/** The idle connections to one endpoint. */
 
 import type { Instant } from '../../../core/id/instant.ts'
 import type { TeamId } from '../../../core/id/team.ts'
@@ -6,11 +6,11 @@
 import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { EndpointLink } from './link.ts'
 
-/** Changes in place: it's touched by every operation. */
+/** Mutable, since every operation changes it. */
 export class IdleLinks {
-  /** The one that was used last is the last. */
+  /** In order of their last use; the most recently used is the last. */
   private links: EndpointLink[] = []
-  /** The team that the endpoint was told of as the connection was opened; none in it for this process's own. */
+  /** The team that was announced when the connection was opened; this process's own connections have no entry. */
   private readonly teams = new WeakMap<EndpointLink, TeamId>()
 
   private readonly use = ConnectionUsage.create()
@@ -29,12 +29,12 @@
     return [...this.links]
   }
 
-  /** The connection serves the team and no other for as long as it lasts. */
+  /** Assigns the connection to the team for its whole lifetime. */
   assign (link: EndpointLink, team: TeamId | undefined): void {
     if (team !== undefined) this.teams.set(link, team)
   }
 
-  /** One of the team's connections is lent. */
+  /** Records that one of the team's connections was borrowed. */
   recordUse (team: TeamId | undefined, now: Instant): void {
     if (team !== undefined) this.use.add(team, now)
   }
@@ -51,7 +51,7 @@
     return this.links.some(link => this.teams.get(link) === team)
   }
 
-  /** Whether it was there. */
+  /** Returns whether it was there. */
   remove (link: EndpointLink): boolean {
     const at = this.links.indexOf(link)
     if (at >= 0) this.links.splice(at, 1)
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Of the team's connections the one that takes the fewest commands to bring to the values; the last used among equals, so that the others may
-   * rest. Undefined without one: a connection of another team never serves.
+   * Removes the team's connection that needs the fewest commands to get to the session values; the most recently used among
+   * equals, so that the others can reach their idle timeout. Undefined if the team has none: connections of other teams are never used.
    */
   take (team: TeamId | undefined, values: SessionState): EndpointLink | undefined {
     let best = -1
@@ -76,12 +76,12 @@
     return best < 0 ? undefined : this.links.splice(best, 1)[0]
   }
 
-  /** The one that is unused for the longest time. */
+  /** Removes the least recently used connection. */
   takeOldest (): EndpointLink | undefined {
     return this.links.shift()
   }
 
-  /** One of the team whose unused connections serve least, each taking its part; the one that is unused for the longest time among equals. */
+  /** Removes a connection of the team with the least use per idle connection; the least recently used among equals. */
   takeLeastUsed (now: Instant): EndpointLink | undefined {
     const counts = new Map<TeamId | undefined, number>()
     for (const link of this.links) counts.set(this.teams.get(link), (counts.get(this.teams.get(link)) ?? 0) + 1)
--- a/src/shell/pool/connections/idletimeouts.ts
+++ b/src/shell/pool/connections/idletimeouts.ts
@@ -1,4 +1,4 @@
-/** Connections that are given up if nobody uses them for a while. */
+/** Timeouts after which idle connections are closed. */
 
 import type { EndpointLink } from './link.ts'
 
@@ -11,7 +11,7 @@
     return new IdleTimeouts(onRested)
   }
 
-  /** `ms`: how long it's kept; undefined for as long as it lasts. */
+  /** Starts the timeout of a connection. `ms`: undefined for no timeout. */
   rest (link: EndpointLink, ms: number | undefined): void {
     if (ms !== undefined) this.timers.set(link, setTimeout(() => this.onTimeout(link), ms))
   }
--- a/src/shell/pool/connections/isendpointfull.ts
+++ b/src/shell/pool/connections/isendpointfull.ts
@@ -1,8 +1,8 @@
-/** Whether an endpoint lives that a connection couldn't be opened to. */
+/** Distinguishes an endpoint without free connections from an unreachable one. */
 
 import type { DialFault } from './dialfault.ts'
 
-/** An endpoint that takes no more connections lives, and has the next one free as soon as some host gives one back. */
+/** Whether the endpoint is alive but has no free connection. One is free again as soon as some host closes one. */
 export function isEndpointFull (fault: DialFault): boolean {
   return fault === 'tooManyConnections' || fault === 'turnedAway'
 }
--- a/src/shell/pool/connections/limitsof.ts
+++ b/src/shell/pool/connections/limitsof.ts
@@ -1,11 +1,10 @@
-/** The limits of admission to one endpoint's connections. */
+/** Admission limits for the connections to one endpoint. */
 
 import { Limits } from '../../../core/admission/limits.ts'
 
 /**
- * A host's share may be two connections, so the reserves that a slot of many
- * keeps for the urgent don't fit: a transaction may take any of them, but the
- * lowest class leaves one.
+ * A host's share may be as small as two connections, too few for the reserves that a slot keeps for urgent statements.
+ * Transactions may take all connections, except that those of the lowest class leave one.
  */
 export function limitsOf (connections: number): Limits {
   const lowest = Math.max(1, connections - 1)
--- a/src/shell/pool/connections/openingqueue.ts
+++ b/src/shell/pool/connections/openingqueue.ts
@@ -1,4 +1,4 @@
-/** Whose turn it is to have a connection opened, where openings take places from statements. */
+/** Orders the openings of connections where they take places from statements. */
 
 import { err, type Result } from 'neverthrow'
 import type { Instant } from '../../../core/id/instant.ts'
@@ -17,18 +17,18 @@
 }
 
 interface OpeningDemand {
-  /** Connections of the team that are on loan. */
+  /** Borrowed connections of the team. */
   readonly own: number
-  /** Openings that come of it: its own, and that of the team whose connection is closed for it. */
+  /** Openings that it causes: its own, and that of the team whose connection is closed for it. */
   readonly openings: number
 }
 
-/** A request waits for its team's own connections at most for this part of the time that it has left. */
+/** Largest part of its remaining time for which a request waits for its team's connections. */
 const MAX_WAIT_SHARE = 1 / 4
 
 type Dial = () => Promise<Result<EndpointLink, DialFault>>
 
-/** `T`: a request, with what its owner needs to serve it. */
+/** `T`: a request with the data for serving it. */
 export class OpeningQueue<T extends Request> {
   private readonly parked = TeamWaitList.create<T>()
 
@@ -38,23 +38,23 @@
     return new OpeningQueue()
   }
 
-  /** A connection of the team is back: the request that gets it, if one waits. */
+  /** Removes and returns the request that gets a returned connection of the team; undefined if none waits. */
   next (team: TeamId | undefined): T | undefined {
     return this.parked.take(team)
   }
 
-  /** Ends the wait of all. */
+  /** Removes and returns all waiting requests. */
   takeAll (): readonly T[] {
     return this.parked.takeAll()
   }
 
   /**
-   * Resolves with a place for the opening, or once the request needs none: `taken`, as by a connection of its team that came back first,
-   * or `refused`, as there's no place in its time.
+   * Resolves with a place for the opening; with `taken` if the request was served by a returned connection of its team; or with
+   * `refused` if there was no place in time.
    *
-   * Guard against teams that close each other's connections in turn: each opening takes a place from statements for about as long as a short
-   * one of them, so a queue brings openings, and these make it longer. A request therefore waits for its team's own connections for as
-   * long as opening one would cost all who wait, and is opened one only then: that costs at most twice the better of both.
+   * Teams that close each other's connections in turn would lengthen the queue, since each opening takes a place from statements.
+   * So a request first waits for its team's connections for as long as an opening would delay all who wait. This costs at
+   * most twice as much as the better of the two choices.
    */
   async waitForTurn (places: Places, request: T, standing: OpeningDemand): Promise<PlaceTicket | 'taken' | 'refused'> {
     const { wish: { team, rank, caller }, deadline } = request
@@ -73,7 +73,7 @@
     return isGranted ? ticket : 'refused'
   }
 
-  /** Opens a connection that serves anybody, at the class of the first that waits; without a place in time the endpoint counts as full. */
+  /** Opens a connection that serves anyone, with the rank of the first request in the queue; without a place in time the endpoint counts as full. */
   async openShared (places: Places | undefined, first: Request | undefined, dial: Dial): ReturnType<Dial> {
     if (places === undefined || first === undefined) return await dial()
     const { wish: { rank, caller }, deadline } = first
@@ -85,7 +85,7 @@
   }
 }
 
-/** What an opening takes from others, in milliseconds: its place, and as much of the time of each that waits here. None is worth waiting for without a connection of the team. */
+/** Total delay that an opening causes, in milliseconds: its own time in a place, and as much for each that waits. 0 if the team has no connections to wait for. */
 function costMs (places: Places, { own, openings }: OpeningDemand): number {
   return own === 0 ? 0 : openings * places.openingMs * (1 + places.load().waiting)
 }
--- a/src/shell/pool/connections/places.ts
+++ b/src/shell/pool/connections/places.ts
@@ -1,4 +1,4 @@
-/** The places of one endpoint that this host may use, given out as the core decides. */
+/** This host's places at one endpoint, granted in the order that `PlaceScheduler` decides. */
 
 import type { CallerId } from '../../../core/id/caller.ts'
 import type { EndpointId } from '../../../core/id/endpoint.ts'
@@ -19,12 +19,12 @@
 
 interface Options {
   readonly endpoint: EndpointId
-  /** As the endpoint tells. */
+  /** Number of places as the endpoint reports. */
   readonly places: number
-  /** Those that wait for a connection, and so for a place after it. */
+  /** Number of operations that wait for a connection, and will need a place after it. */
   readonly queued: () => number
   readonly others: OthersLoad
-  /** How the endpoint answered lately, for the reports. */
+  /** Recent answers of the endpoint, for load reports. */
   readonly answers: () => Pick<ResponseStats, 'answerMs' | 'failing'>
   readonly log: Log
   readonly metrics: PoolMetrics
@@ -35,20 +35,20 @@
   readonly rank: number
   readonly caller: string
   readonly what: PlaceOrder['what']
-  /** Milliseconds in which it's to be done. */
+  /** Milliseconds until its deadline. */
   readonly leftMs: number
-  /** Until when it's best started; undefined where that plays no part. */
+  /** Latest start at which the operation meets its latency aim; undefined where aims aren't considered. */
   readonly aim?: Instant | undefined
 }
 
 type PlaceEnding = Ending | 'done' | 'notSent'
 type Settle = (isGranted: boolean) => void
 
-/** How often what waits is looked through, and the limit with it. */
+/** Interval of checking the queue and the limit. */
 const TICK_MS = 10
-/** At most one line in this time says that the endpoint refuses for want of room, and one that something couldn't have a place in time. */
+/** Shortest time between two log lines of the same kind. */
 const LOG_INTERVAL_MS = 5000
-/** Endings without an answer: the true time is longer than it was waited for. */
+/** Endings without an answer, for which the measured time is only a lower bound. */
 const UNANSWERED: ReadonlySet<PlaceEnding> = new Set<PlaceEnding>(['broken', 'outOfTime'])
 
 export class Places {
@@ -71,12 +71,12 @@
     return new Places(options)
   }
 
-  /** Statements and openings that wait for a place, those without a connection left out. */
+  /** Number of statements and openings that wait for a place, without those that wait for a connection. */
   get waiting (): number {
     return this.gate.waiting
   }
 
-  /** What this host has at the endpoint. */
+  /** This host's load at the endpoint. */
   load (): EndpointLoad {
     const { endpoint, queued } = this.options
     const now = clock.now()
@@ -84,12 +84,12 @@
     return { endpoint, atWork: this.gate.atWork, waiting: this.gate.waiting + queued(), answerMs: answers.answerMs(now), failing: answers.failing(now) }
   }
 
-  /** How long an opening takes of a place, in milliseconds. */
+  /** Milliseconds for which an opening occupies a place. */
   get openingMs (): number {
     return this.gate.openingMs(clock.now())
   }
 
-  /** The endpoint tells another number of places. */
+  /** Takes in the number of places that the endpoint reports. */
   resize (places: number): void {
     if (places === this.places) return
     this.places = places
@@ -118,7 +118,7 @@
     return { granted, cancel: () => this.cancel(id), returnPlace: giveBack }
   }
 
-  /** Tells all that wait that the endpoint is out of reach. */
+  /** Refuses all that wait, because the endpoint is unreachable. */
   refuseWaiting (): void {
     this.step({ kind: 'unreachable' })
   }
@@ -157,7 +157,7 @@
     else this.ticker.stop()
   }
 
-  /** The endpoint has more to do than it takes: other hosts are there too. */
+  /** Lowers the limit after the endpoint refused a statement because it's full. */
   private recordShed (now: Instant): void {
     const { metrics, log, endpoint } = this.options
     this.limit.backOff(now)
--- a/src/shell/pool/connections/placeticket.ts
+++ b/src/shell/pool/connections/placeticket.ts
@@ -1,13 +1,13 @@
-/** One order for a place at an endpoint, from waiting for it to giving it back. */
+/** A request for a place at an endpoint, from waiting for it to returning it. */
 
 import type { Ending } from '../../../core/pool/statements/ending.ts'
 
-/** Giving back twice, or what was never granted, does nothing. */
+/** Returning a place twice, or one that wasn't granted, has no effect. */
 export interface PlaceTicket {
-  /** Resolves with false when it can't be granted in its time; nothing may be sent then. */
+  /** Resolves with false if the place wasn't granted in time; nothing may be sent then. */
   readonly granted: Promise<boolean>
-  /** Nobody waits for it any more; one that is granted stays. */
+  /** Stops waiting; has no effect once the place is granted. */
   cancel (): void
-  /** Gives the place back. `ending`: how what it was taken for ended; `notSent` when nothing went to the endpoint. */
+  /** Returns the place. `ending`: how its statement or opening ended; `notSent` if nothing was sent to the endpoint. */
   returnPlace (ending: Ending | 'done' | 'notSent'): void
 }
--- a/src/shell/pool/connections/teamwaitlist.ts
+++ b/src/shell/pool/connections/teamwaitlist.ts
@@ -1,9 +1,9 @@
-/** Operations that were let in and wait for a connection of their team, while those are on loan. */
+/** Admitted operations that wait for a borrowed connection of their team to be returned. */
 
 import type { TeamId } from '../../../core/id/team.ts'
 
 class Entry<T> {
-  /** Resolves once it's left, or taken by a connection that came back. */
+  /** Resolves once the entry was taken from the list. */
   readonly ended: Promise<void>
   isTaken = false
   private end: () => void = () => {}
@@ -23,7 +23,7 @@
   }
 }
 
-/** Few at a time: each holds one of a host's connections to the endpoint, or room for one. */
+/** The list is short, since each operation holds one of the host's connections to the endpoint, or room for one. */
 export class TeamWaitList<T> {
   private seats: Array<Entry<T>> = []
 
@@ -47,7 +47,7 @@
     this.seats = this.seats.filter(other => other !== seat)
   }
 
-  /** The most urgent of the team, the first among equals; undefined when none of it waits. */
+  /** Removes and returns the most urgent operation of the team, the first among equals; undefined if none waits. */
   take (team: TeamId | undefined): T | undefined {
     let best: Entry<T> | undefined
     for (const seat of this.seats) {
--- a/src/shell/pool/connections/ticker.ts
+++ b/src/shell/pool/connections/ticker.ts
@@ -1,4 +1,4 @@
-/** A timer that runs only while it's needed. */
+/** An interval timer that can be stopped and started. */
 
 export class Ticker {
   private timer: NodeJS.Timeout | undefined
@@ -9,7 +9,7 @@
     return new Ticker(ms, act)
   }
 
-  /** Starts it, or goes on. */
+  /** Starts the timer unless it's running. */
   run (): void {
     this.timer ??= setInterval(this.act, this.ms)
   }
--- a/src/shell/pool/context.ts
+++ b/src/shell/pool/context.ts
@@ -1,4 +1,4 @@
-/** What all sessions of a process share. */
+/** The state and services that all sessions of this process share. */
 
 import type { PoolConfig } from '../../core/pool/config.ts'
 import type { permissionOf } from '../../core/pool/access/permission.ts'
@@ -17,29 +17,29 @@
 import type { PoolMetrics } from './metrics.ts'
 
 export interface PoolContext {
-  /** The newest configuration in force. */
+  /** The configuration in force. */
   readonly config: () => PoolConfig
-  /** Resolves once the process knows its configuration and its endpoints, or with false after the time. */
+  /** Resolves with true once the process knows its configuration and endpoints, or with false after `ms`. */
   readonly whenReady: (ms: number) => Promise<boolean>
-  /** Resolves once this host has at least the version, or can't get it from the host that has. */
+  /** Resolves once this host has at least `version` of the configuration, or failed to get it from `host`. */
   readonly catchUpConfig: (version: number, host: string) => Promise<void>
   readonly self: HostId
-  /** Whether statements on the route may go out for the holder of the key, by what this host knows now. */
+  /** Whether the holder of `key` may run statements on `route`, by the configuration in force. */
   readonly permission: (route: Route, key: KeyDigest | undefined) => ReturnType<typeof permissionOf>
-  /** Undefined where teams have none. */
+  /** Undefined where teams have no allowances. */
   readonly allowances: Allowances | undefined
-  /** Hosts that have connections for the database and the holder of the key, the best first; empty when this host serves it itself. */
+  /** Hosts that own connections for the database and the holder of `key`, the best first; empty if this host serves it itself. */
   readonly forwardingTargets: (database: string, key?: KeyDigest) => readonly PoolHost[]
-  /** The host couldn't be reached, or ended with statements open. */
+  /** Reports a host that couldn't be reached, or that ended with statements open. */
   readonly reportUnreachableHost: (id: HostId) => void
-  /** Opens a connection to a host that reaches an endpoint of the database. */
+  /** Connects to a host that reaches an endpoint of the database. */
   readonly dialHost: (host: PoolHost, database: string, key: KeyDigest | undefined, timeoutMs: number) => ReturnType<Dialer['dialHost']>
   readonly group: (id: GroupId) => PoolGroup | undefined
   readonly retryBudget: SharedRetryBudget
   readonly log: Log
-  /** For lines of requests. */
+  /** Limits the log lines about requests. */
   readonly lineBudget: LogRateLimiter
   readonly metrics: PoolMetrics
-  /** Undefined when the operator wants no records. */
+  /** Undefined if audit records are turned off. */
   readonly auditor: Auditor | undefined
 }
--- a/src/shell/pool/failover/failovercontroller.ts
+++ b/src/shell/pool/failover/failovercontroller.ts
@@ -1,4 +1,4 @@
-/** Carries out what the succession of one group decides: claims, surveys, orders and objections. */
+/** Controls the failover of one group: performs the claims, surveys, promotions and objections that the core decides on. */
 
 import { setTimeout as pause } from 'node:timers/promises'
 import type { EndpointId } from '../../../core/id/endpoint.ts'
@@ -25,28 +25,25 @@
   readonly host: HostId
   readonly group: PoolGroup
   readonly platform: Platform
-  /** The table that all hosts share. */
+  /** The store table that all hosts share. */
   readonly table: string
   readonly log: Log
   readonly metrics: PoolMetrics
-  /** Hosts that are alive. */
+  /** The live hosts. */
   readonly hosts: () => readonly PoolHost[]
-  /** The same, in the order in which they act. */
+  /** The live hosts in the order in which they act. */
   readonly failoverOrder: () => readonly HostId[]
-  /** Milliseconds for which an endpoint serves after it said that it leaves. */
+  /** Milliseconds for which an endpoint keeps serving after it announced that it leaves. */
   readonly drainMs: number
-  /** Whether a commit waits for a replica, so that the successor must hold what any replica acknowledged. */
+  /** Whether commits wait for a replica, so that the new primary must have all that any replica acknowledged. */
   readonly isSynchronous: () => boolean
   readonly signal: AbortSignal
 }
 
-/**
- * The part of a leaving primary's time that its replicas get to catch up. The
- * rest must do for the claim, a promotion of up to two seconds and its spreading; the shortest such time that is known is four seconds.
- */
+/** Part of a leaving primary's drain time in which its replicas catch up; the rest is for the claim and a promotion of up to two seconds. */
 const CATCH_UP_SHARE = 0.25
 
-/** Half of the least time that hosts have to object. */
+/** Time over which hosts spread their objections: half of the shortest time for objections. */
 const OBJECTION_SPREAD_MS = 100
 
 type Promote = Extract<GroupFailoverAction, { kind: 'promote' }>
@@ -60,7 +57,7 @@
   private succession = GroupFailover.create(clock.now())
   private lease: Lease | undefined
   private readonly probing = new Set<EndpointId>()
-  /** The newest fence under which a host objected. */
+  /** The highest fence with an objection. */
   private objectedTo = 0
   private readonly probes: Probes
 
@@ -72,7 +69,7 @@
     return new FailoverController(options)
   }
 
-  /** To be called every tenth of a second or so. */
+  /** Must be called about every 100 ms. */
   tick (): void {
     const { group } = this.options
     for (const { id } of group.knownEndpoints) {
@@ -81,14 +78,14 @@
     if (!this.succession.isIdle || !this.isHealthy) this.step({ kind: 'tick' })
   }
 
-  /** Whether there is nothing to judge: nearly always, so it's looked at before the view is put together. */
+  /** A cheap check for the normal case, in which the view needn't be built. */
   private get isHealthy (): boolean {
     const { group } = this.options
     const listed = group.leader === undefined ? undefined : group.endpoint(group.leader)
     return listed !== undefined && !listed.isLeaving && !group.isLeaderUnreachable()
   }
 
-  /** A row of the shared table under this group's name. */
+  /** Takes in the group's lease row of the shared table. */
   leaseChanged ({ value, version }: Row): void {
     const parsed = value === undefined ? undefined : leaseShape.safeParse(readJson(value))
     if (parsed?.success !== true || (this.lease !== undefined && version <= this.lease.version)) return
@@ -198,7 +195,7 @@
     })
   }
 
-  /** Tells all hosts to whom a leaving primary hands over, before it's ordered; false when the store didn't take it. */
+  /** Announces the successor of a leaving primary to all hosts before its promotion; resolves with false if the store didn't take the row. */
   private async announce ({ endpoint, handoverFrom: handsOver }: Promote): Promise<boolean> {
     if (handsOver === undefined) return true
     const { group, platform, table, metrics, signal } = this.options
@@ -231,11 +228,9 @@
   }
 
   /**
-   * Another host finds the primary out of reach. One that reaches it says so.
-   * Guard against an objection by what was true before a crash, which costs a
-   * second of writes: only a question that is asked now counts, on a new
-   * connection, since an answer of a moment ago may be older than the crash.
-   * One objection is enough, and a few let the others share the way: with many hosts they speak in turn, and those who have heard one are silent.
+   * Objects to another host's claim that the primary is unreachable, if this host reaches it. Probes it on a new connection, since an
+   * earlier answer may be from before a crash, and a wrong objection delays the failover. One objection is enough, so hosts object
+   * in turn, and only if there is none yet.
    */
   private async considerObjection (endpoint: EndpointId, fence: number): Promise<void> {
     const { group, host, failoverOrder: turns, platform, table, log, metrics, signal } = this.options
@@ -251,7 +246,7 @@
   }
 }
 
-/** The fence under which an objection was made, and the endpoint that its host reaches; undefined for a row that was erased or can't be read. */
+/** The fence of an objection and the endpoint that its host reaches; undefined for an erased or invalid row. */
 function objectionOf (value: string | undefined): { readonly fence: number, readonly endpoint: EndpointId } | undefined {
   const parsed = objectionShape.safeParse(value === undefined ? undefined : readJson(value))
   return parsed.success ? { fence: parsed.data.fence, endpoint: parsed.data.endpoint as EndpointId } : undefined
--- a/src/shell/pool/failover/orders.ts
+++ b/src/shell/pool/failover/orders.ts
@@ -1,4 +1,4 @@
-/** Orders to the platform to make an endpoint the primary of its group. */
+/** Orders to the platform to promote an endpoint to primary of its group. */
 
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { GroupId } from '../../../core/id/group.ts'
@@ -8,18 +8,18 @@
   readonly group: GroupId
   readonly endpoint: EndpointId
   readonly holder: HostId
-  /** Grows with each choice; a lower one than the platform has seen is refused. */
+  /** Fencing token, which grows with each decision; the platform refuses lower ones than it has seen. */
   readonly fence: number
 }
 
 /**
- * - `refused`: a higher fence was seen, or the endpoint doesn't run.
- * - `notDone`: the platform says that it did nothing; the order may be given again.
- * - `unknown`: no answer; it may be carried out later, unless a higher fence comes first.
+ * - `refused`: a higher fence was seen, or the endpoint isn't running.
+ * - `notDone`: the platform did nothing; the order may be repeated.
+ * - `unknown`: no answer; the order may still be carried out, unless a higher fence comes first.
  */
 type Outcome = 'done' | 'refused' | 'notDone' | 'unknown'
 
 export interface PromotionOrders {
-  /** Resolves always. */
+  /** Never rejects. */
   promote (order: Order, signal: AbortSignal): Promise<Outcome>
 }
--- a/src/shell/pool/failover/outage.ts
+++ b/src/shell/pool/failover/outage.ts
@@ -1,4 +1,4 @@
-/** The time in which a group has no primary that this host reaches, as the statements that need one see it. */
+/** State of an outage of a group's primary, for the statements that wait for one. */
 
 import type { GroupId } from '../../../core/id/group.ts'
 import { FailoverEstimate } from '../../../core/pool/failover/failoverestimate.ts'
@@ -6,12 +6,12 @@
 import { clock } from '../clock.ts'
 import { Waiters } from '../waiters.ts'
 
-/** The only place where the group's expectation is replaced. */
+/** Holds the group's `Expectation` and replaces it as events come in. */
 export class Outage {
   private expectation = FailoverEstimate.none
   private readonly waiters = Waiters.create()
   private count = 0
-  /** What the log was told of this outage. */
+  /** What was logged about this outage. */
   private logged: 'nothing' | 'awaited' | 'unexpected' = 'nothing'
 
   private constructor (private readonly group: GroupId, private readonly log: Log) {}
@@ -20,46 +20,46 @@
     return new Outage(group, log)
   }
 
-  /** Statements that wait. */
+  /** Number of waiting statements. */
   get waiting (): number {
     return this.count
   }
 
-  /** The primary is out of reach, or not known. */
+  /** Records that the primary is unreachable or unknown. */
   begin (): void {
     this.expectation = this.expectation.lost(clock.now())
   }
 
-  /** The same primary answers again. */
+  /** Records that the same primary answers again. */
   end (): void {
     this.expectation = this.expectation.back(clock.now())
     this.wake()
   }
 
-  /** Another endpoint leads. */
+  /** Records that another endpoint is the primary. */
   recordReplaced (): void {
     this.expectation = this.expectation.replaced(clock.now())
     this.wake()
   }
 
-  /** A host claimed the lease under the fence. */
+  /** Records that a host claimed the lease with the fence. */
   recordClaim (fence: number): void {
     this.expectation = this.expectation.claimed(fence, clock.now())
   }
 
-  /** No promotion follows, as far as this host knows. */
+  /** Records that no promotion is expected to follow. */
   cancelExpectation (): void {
     this.expectation = this.expectation.aborted()
     this.waiters.wake()
   }
 
-  /** Milliseconds until there is a primary; undefined when none is expected. */
+  /** Expected milliseconds until there is a primary; undefined if none is expected. */
   expectedMs (): number | undefined {
     this.begin()
     return this.expectation.remainingMs(clock.now())
   }
 
-  /** A statement waits on, `ms` being what is expected; undefined: one that waited was refused since nothing is. At most two lines an outage, however many wait. */
+  /** Logs that a statement waits for a primary expected in `ms`, or with undefined that one was refused because none is expected. At most two lines per outage. */
   logWait (ms: number | undefined): void {
     const { group, count, log, logged: told } = this
     if (ms !== undefined && told === 'nothing') {
@@ -72,13 +72,13 @@
     }
   }
 
-  /** One more waits, until the returned function is called. */
+  /** Counts a waiting statement until the returned function is called. */
   addWaiting (): () => void {
     this.count++
     return () => { this.count-- }
   }
 
-  /** Resolves as soon as something changed, or after the milliseconds, or when whoever waits is gone. */
+  /** Resolves on the next change, after `ms`, or when `gone` is aborted. */
   async wait (ms: number, gone: AbortSignal | undefined): Promise<void> {
     await this.waiters.wait(ms, gone)
   }
--- a/src/shell/pool/failover/probes.ts
+++ b/src/shell/pool/failover/probes.ts
@@ -1,4 +1,4 @@
-/** Questions to the endpoints of a group, each on a new connection beside those in use. */
+/** Probes the endpoints of a group, each on a new connection. */
 
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { Command } from '../../../core/statement/command.ts'
@@ -8,9 +8,9 @@
 import type { DialFault } from '../connections/dialfault.ts'
 import type { PoolGroup } from '../group.ts'
 
-/** How long an endpoint has to answer: a connection, and a place in its queue. */
+/** Limit for opening the connection, and for the answer. */
 const PROBE_MS = 300
-/** An endpoint counts the connections of dead hosts for about three seconds; one that was turned away for longer without any answer is out of reach. */
+/** An endpoint counts the connections of dead hosts for about three seconds. One that closes connections for longer without any answer is unreachable. */
 const FULL_MS = 4000
 
 export class Probes {
@@ -20,7 +20,7 @@
     return new Probes(group, dialer)
   }
 
-  /** Whether the endpoint proves on a new connection that it leads; connections in use may be silent while new ones work. */
+  /** Whether the endpoint proves on a new connection that it's the primary. Connections in use may be dead while new ones work. */
   async proveLeader (id: EndpointId): Promise<boolean> {
     const { group, dialer } = this
     const endpoint = group.endpoint(id) ?? group.connectionPool(id)?.endpoint
@@ -41,9 +41,8 @@
   }
 
   /**
-   * Guard against a healthy primary that is replaced since it has no connection
-   * left: it turns probes away, with or without a word. One that answered
-   * lately, on connections in use, is then taken to be full and not dead.
+   * Whether the endpoint only lacks free connections, so that a healthy primary isn't replaced. An endpoint that closes probes
+   * without an answer counts as full if it answered recently on connections in use.
    */
   private handleDialFault (id: EndpointId, fault: DialFault): boolean {
     const { group } = this
@@ -53,7 +52,7 @@
     return isFull
   }
 
-  /** What the endpoint says of itself, after the command; undefined when it doesn't answer. */
+  /** The endpoint's status after the command; undefined if it doesn't answer. */
   async ask (id: EndpointId, command: Command): Promise<EndpointStatus | undefined> {
     const { group, dialer } = this
     const endpoint = group.endpoint(id)
--- a/src/shell/pool/failover/surveyall.ts
+++ b/src/shell/pool/failover/surveyall.ts
@@ -1,4 +1,4 @@
-/** Asks the endpoints of a group how far their logs reach. */
+/** Asks the endpoints of a group for their log positions. */
 
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { Term } from '../../../core/id/term.ts'
@@ -13,17 +13,16 @@
   readonly probes: Probes
   readonly log: Log
   readonly old: EndpointId | undefined
-  /** Whether the old primary hands over, and so is asked as well. */
+  /** Whether the old primary hands over, and is asked as well. */
   readonly isHandover: boolean
-  /** Whether the replicas are to stop where they are. */
+  /** Whether the replicas are to stop receiving. */
   readonly isStopped: boolean
 }
 
 /**
- * Where commits wait for a replica, the replicas are stopped first: a commit
- * that a replica acknowledged after it was asked would be missing in the log that was chosen.
- * Elsewhere an old primary that hands over is asked before them, so that a
- * replica which holds what it said has missed nothing until then. Resolves with those that answered.
+ * Resolves with the status of the endpoints that answered. Where commits wait for a replica, the replicas are stopped, since the chosen
+ * log might lack a commit that another replica acknowledged after it was asked. Otherwise an old primary that hands over is asked
+ * before the replicas, so that a replica with its position has everything up to then.
  */
 export async function surveyAll ({ group, probes, log, old, isHandover, isStopped }: Options): Promise<ReadonlyMap<EndpointId, EndpointStatus>> {
   const command: Command = isStopped ? { kind: 'pause', term: group.term + 1 as Term } : { kind: 'status' }
--- a/src/shell/pool/group.ts
+++ b/src/shell/pool/group.ts
@@ -1,4 +1,4 @@
-/** What this host knows of one group, and its connections to the group's endpoints. */
+/** State of one group as this host knows it, and its connections to the group's endpoints. */
 
 import type { Directory } from '../../core/directory/directory.ts'
 import type { Endpoint } from '../../core/directory/endpoint.ts'
@@ -46,37 +46,37 @@
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly chance: () => number
-  /** When the process started. */
+  /** When this process started. */
   readonly startedAt: Instant
 }
 
-/** An endpoint that this host has no connections to. */
+/** Counts for an endpoint that this host has no connections to. */
 const NO_CONNECTIONS: ConnectionPool['stats'] = { connections: 0, atWork: 0, waiting: [] }
 
-/** The only place where the group's pure values are replaced. */
+/** Holds the group's immutable values and replaces them as events come in. */
 export class PoolGroup {
   private readonly connectionPools = new Map<EndpointId, ConnectionPool>()
   private readonly standings = new Map<EndpointId, LogState>()
   private readonly contacts = new Map<EndpointId, Reachability>()
-  /** Where reads go. */
+  /** Chooses endpoints for reads. */
   readonly readRouter: ReadRouter
-  /** Endpoints that were logged as out of reach. */
+  /** Endpoints that were logged as unreachable. */
   private readonly unreached = new Set<EndpointId>()
   private directory: Directory = Endpoints.empty
   private leadership: Leadership
   private progress = LogProgress.empty
   private share: EndpointShare = { connections: 1, isOwner: false, hasRoom: false, otherOwners: [] }
-  /** The newest that was announced; an old one concerns an endpoint that doesn't lead any more. */
+  /** The last that was announced; it may be about an endpoint that is no longer the primary. */
   private handover: Handover | undefined
   private reach = ReachingHosts.none
   private readonly service = ServiceTime.create()
-  /** Who asked what of it lately. */
+  /** Recent statements by team. */
   readonly usage = GroupUsage.create(clock.now())
-  /** For those who wait for a leader. */
+  /** Wakes statements that wait for a primary. */
   readonly outage: Outage
-  /** What the other owners have at the endpoints. */
+  /** The load that the other owners report. */
   readonly sharedLoad = SharedLoad.create()
-  /** For those who wait for an answer of an endpoint. */
+  /** Notifies statements in progress when their endpoint becomes unreachable. */
   readonly watchers = Watchers.create()
 
   private constructor (private readonly options: Options) {
@@ -106,7 +106,7 @@
     return this.directory.group(this.options.id)
   }
 
-  /** Endpoints that are listed, and the leader also when it isn't. */
+  /** Listed endpoints, and the primary even if it isn't listed. */
   get knownEndpoints (): ReadonlyArray<Pick<Endpoint, 'id'>> {
     const { leader, endpoints } = this
     const isListed = leader === undefined || endpoints.some(({ id }) => id === leader)
@@ -117,7 +117,7 @@
     return this.share.isOwner
   }
 
-  /** What this host has at each endpoint, for operators. */
+  /** This host's connections, running and waiting statements at each endpoint, for operators. */
   get endpointStats (): LoadSnapshot['groups'][number]['endpoints'] {
     return this.endpoints.map(({ id, isLeaving, places }) => {
       const { connections, atWork, waiting } = this.connectionPools.get(id)?.stats ?? NO_CONNECTIONS
@@ -133,43 +133,43 @@
     return this.contacts.get(id) ?? Reachability.none
   }
 
-  /** Another host reaches the endpoint. */
+  /** Records that another host reaches the endpoint. */
   recordReachableVia (id: EndpointId, host: PoolHost): void {
     this.reach = this.reach.with(id, host, clock.now())
   }
 
-  /** A host that reached the endpoint lately, in this data centre if there is one; undefined when none did. */
+  /** A host that recently reached the endpoint, preferably in this data centre; undefined if none did. */
   hostReaching (id: EndpointId | undefined): PoolHost | undefined {
     const hosts = id === undefined ? [] : this.reach.hosts(id, clock.now())
     return hosts.find(({ dataCentre }) => dataCentre === this.options.dataCentre) ?? hosts[0]
   }
 
-  /** Whether there is a leader that this host doesn't reach. */
+  /** Whether there is a primary that this host doesn't reach. */
   isLeaderUnreachable (): boolean {
     return this.leader !== undefined && this.contact(this.leader).isFailing(clock.now())
   }
 
-  /** Milliseconds without a known leader. */
+  /** Milliseconds without a known primary. */
   leaderlessMs (): number {
     return this.leadership.leaderlessMs(clock.now())
   }
 
-  /** The same; undefined while one is known. */
+  /** The same; undefined while a primary is known. */
   get missingMs (): number | undefined {
     return this.leader === undefined ? this.leaderlessMs() : undefined
   }
 
-  /** Which statements wait for what they lack: only where the group's owners are picked, so that each of them knows what is under way. */
+  /** Which statements wait for a missing resource. They only do where the group has assigned owners, since each owner then knows the load. */
   get retryPolicy (): RetryPolicy {
     return this.share.hasRoom ? PATIENT : PROMPT
   }
 
-  /** This host's connections to an endpoint. */
+  /** The number of connections that this host may have to an endpoint. */
   get connections (): number {
     return this.share.connections
   }
 
-  /** What a statement takes here from its sending to its answer, in milliseconds. */
+  /** Recent time from sending a statement to its answer, in milliseconds. */
   get serviceMs (): number {
     return this.service.at(clock.now())
   }
@@ -178,7 +178,7 @@
     return this.options.chance
   }
 
-  /** A statement was done, so long after it was sent. */
+  /** Records a statement that was done `ms` after it was sent. */
   recordServiceTime (ms: number): void {
     this.service.add(ms, clock.now())
   }
@@ -198,7 +198,7 @@
     }
   }
 
-  /** Takes another share of each endpoint's connections. */
+  /** Changes this host's share of each endpoint's connections. */
   setShare (dealt: EndpointShare): void {
     const { connections, isOwner } = dealt
     if (connections !== this.share.connections) this.options.log.write('shareDealt', { group: this.id, connections, isOwner })
@@ -211,12 +211,12 @@
     this.handover = handover
   }
 
-  /** Who must have received a commit of the endpoint before it's acknowledged; undefined when nobody must. */
+  /** The endpoint that must have received a commit of `endpoint` before it's acknowledged; undefined outside of a handover. */
   successorOf (endpoint: EndpointId): EndpointId | undefined {
     return this.handover?.affects(endpoint) === true ? this.handover.successor : undefined
   }
 
-  /** The connections to the endpoint; undefined for one that isn't listed. */
+  /** The connection pool of the endpoint, created on first use; undefined for an endpoint that isn't listed. */
   connectionPool (id: EndpointId): ConnectionPool | undefined {
     const known = this.connectionPools.get(id)
     if (known !== undefined) return known
@@ -231,22 +231,22 @@
     return lender
   }
 
-  /** What this host has at the group's endpoints, as far as it counts that. */
+  /** This host's load at the group's endpoints, for those where it's counted. */
   get loads (): readonly EndpointLoad[] {
     return [...this.connectionPools.values()].flatMap(({ load }) => load ?? [])
   }
 
-  /** The position that a read of the age must find; undefined when only the primary can serve it. */
+  /** The log position that a read of at most `ageMs` staleness requires; undefined if only the primary can serve it. */
   requiredPosition (own: Token, ageMs: number): Token | undefined {
     return this.progress.requiredPosition(own, ageMs, clock.age())
   }
 
-  /** How long ago the primary's position was last asked for, in milliseconds; undefined when it never was. */
+  /** Milliseconds since the primary's position was last asked for; undefined if it never was. */
   markAgeMs (): number | undefined {
     return this.progress.markAgeMs(clock.age())
   }
 
-  /** The endpoint answered; `isLead`: in a way that only a primary can. */
+  /** Records an answer of the endpoint; `isLead`: only a primary can give this answer. */
   answered (id: EndpointId, position: Token | undefined, sentAt: Instant, isLead: boolean): void {
     this.recordReached(id, clock.now())
     if (position === undefined) return
@@ -257,7 +257,7 @@
     this.setLeadership(this.leadership.proved(id, position.term), 'proof')
   }
 
-  /** The endpoint says of itself that it leads the term; weaker than a proof, so it marks no position. */
+  /** The endpoint reports itself as the primary of the term. This is weaker than a proof, so it sets no position. */
   recordLeaderClaim (id: EndpointId, term: number): void {
     if (term < this.progress.term) return
     this.setLeadership(this.leadership.proved(id, term), 'status')
@@ -272,7 +272,7 @@
     this.setLeadership(this.leadership.refused(id, clock.now()), 'refusal')
   }
 
-  /** Something was sent to the endpoint. */
+  /** Records that something was sent to the endpoint. */
   recordRequest (id: EndpointId): void {
     const contact = this.contact(id)
     const next = contact.asked(clock.now())
@@ -298,7 +298,7 @@
 
   private recordDial (id: EndpointId, outcome: 'opened' | DialFault): void {
     this.options.metrics.dials.inc({ outcome })
-    // An endpoint that takes no more connections answers, and so lives; one that ends them without a word shows neither.
+    // An endpoint that reports too many connections is alive; one that closes them silently may be alive or dead.
     if (outcome === 'opened' || outcome === 'tooManyConnections') this.recordReached(id, clock.now())
     else if (outcome !== 'turnedAway') this.recordNoAnswer(id)
   }
--- a/src/shell/pool/groups.ts
+++ b/src/shell/pool/groups.ts
@@ -1,4 +1,4 @@
-/** The groups that the configuration names, who owns them, and who replaces their primaries. */
+/** The configured groups, their owners, and the failover of their primaries. */
 
 import type { Directory } from '../../core/directory/directory.ts'
 import type { GroupId } from '../../core/id/group.ts'
@@ -19,17 +19,17 @@
 
 interface Options {
   readonly self: PoolHost
-  /** Milliseconds for which an endpoint serves after it said that it leaves. */
+  /** Milliseconds for which an endpoint keeps serving after it announced that it leaves. */
   readonly drainMs: number
-  /** Where what hosts tell each other through the store lies. */
+  /** The store table that all hosts share. */
   readonly table: string
-  /** Where a team's sessions meet if few owners are picked. */
+  /** Which owners serve a team's sessions where a group has few owners. */
   readonly affinity?: TeamAffinity | undefined
   readonly platform: Platform
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly chance: () => number
-  /** When the process started. */
+  /** When this process started. */
   readonly startedAt: Instant
   readonly config: () => PoolConfig
   readonly directory: () => Directory
@@ -41,7 +41,7 @@
   private readonly groups = new Map<GroupId, PoolGroup>()
   private readonly places = new Map<GroupId, GroupPlaces>()
   private readonly failovers = new Map<GroupId, FailoverController>()
-  /** Rows of the shared table that came before the configuration named their group. */
+  /** Rows of the shared table by key, kept for groups that aren't configured yet. */
   private readonly sharedRows = new Map<string, Row>()
   private ownerships = Ownerships.none
 
@@ -63,14 +63,14 @@
     return this.ownerships.get(id)
   }
 
-  /** The directory says something new. */
+  /** Takes in a change of the directory. */
   updateDirectory (): void {
     const directory = this.options.directory()
     for (const group of this.groups.values()) group.updateDirectory(directory)
     if (this.updatePlaces()) this.assignOwners()
   }
 
-  /** The configuration changed. */
+  /** Takes in a change of the configuration. */
   applyConfig (): void {
     const wanted = new Set(this.options.config().groups.map(({ id }) => id))
     for (const [id, group] of this.groups) {
@@ -92,7 +92,7 @@
     this.assignOwners()
   }
 
-  /** A row that hosts write for each other; those of other kinds are passed over. */
+  /** Takes in a row of the shared table; ignores rows of other kinds. */
   applySharedRow (row: Row): void {
     const [kind, name] = row.key.split('/')
     if (kind === 'lease' || kind === 'handover') this.sharedRows.set(row.key, row)
@@ -106,7 +106,7 @@
     for (const successor of this.failovers.values()) successor.tick()
   }
 
-  /** Works out anew who owns which group. */
+  /** Recomputes the owners of each group. */
   assignOwners (): void {
     const { self, config, hosts, affinity: meeting = singleOwnerAffinity } = this.options
     const { groups, teams } = config()
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Written by owners only: with hundreds of hosts that each write whenever one comes or goes, nobody could read it. */
+  /** Only owners log a change of owners, since hundreds of hosts would each log every host that comes or goes. */
   private logOwners (group: GroupId, before: Ownership | undefined, { owners, connectionsPerOwner: share, hasSpareConnections: hasRoom }: Ownership): void {
     const { self, log } = this.options
     const namesOf = (hosts: readonly PoolHost[]) => hosts.map(({ id }) => id).sort().join(' ')
@@ -132,7 +132,7 @@
     log.write('ownersPicked', { group, owners: namesOf(owners), connections: share })
   }
 
-  /** Whether more places were seen of any group. */
+  /** Updates the number of places of each group; returns whether one changed. */
   private updatePlaces (): boolean {
     let isNews = false
     for (const [id, { endpoints }] of this.groups) {
--- a/src/shell/pool/load/gauges.ts
+++ b/src/shell/pool/load/gauges.ts
@@ -1,10 +1,10 @@
-/** The load of this host's groups as metrics, worked out when they're read. */
+/** Gauges of the load of this host's groups, computed when the metrics are collected. */
 
 import { Gauge, type Registry } from 'prom-client'
 import { classes } from '../../../core/admission/classes.ts'
 import type { LoadSnapshot } from '../../../core/pool/load/loadsnapshot.ts'
 
-/** Teams of a group that have a line of their own: names come from a configuration that may hold thousands. */
+/** Teams reported per group; limits the number of label values, since a configuration may have thousands of teams. */
 const MAX_TEAMS = 3
 
 export function loadGauges (registry: Registry, look: () => LoadSnapshot): void {
--- a/src/shell/pool/load/loadport.ts
+++ b/src/shell/pool/load/loadport.ts
@@ -1,4 +1,4 @@
-/** Reports of load between hosts, as datagrams. */
+/** Sends and receives load reports between hosts as UDP datagrams. */
 
 import { createSocket, type Socket } from 'node:dgram'
 import type { LoadReport } from '../../../core/pool/load/loadreport.ts'
@@ -16,10 +16,10 @@
   readonly signal: AbortSignal
 }
 
-/** Each host takes reports at the port behind the one at which it takes sessions. */
+/** Reports go to the port after the one for sessions. */
 const PORT_OFFSET = 1
 
-/** Datagrams: a report that is lost is followed by the next, and a stream would bring one that is late before those that are new. */
+/** Uses datagrams, since a newer report replaces a lost one, and a stream would delay new reports behind a late one. */
 export class LoadPort implements LoadTransport {
   private listener: (report: LoadReport) => void = () => undefined
   private isFailing = false
@@ -37,7 +37,7 @@
     return new LoadPort(socket, options)
   }
 
-  /** Where a host that takes sessions at the address takes reports. */
+  /** The address for reports to a host that takes sessions at the given address. */
   static reportAddress ({ ip, port }: PoolHost['address']): PoolHost['address'] {
     return { ip, port: port + PORT_OFFSET }
   }
@@ -67,7 +67,7 @@
     else this.failed(error)
   }
 
-  /** Logged once until a report is sent again, since reports are many. */
+  /** Logs only the first failure until a report is sent again, since reports are frequent. */
   private failed (error: Error): void {
     if (!this.isFailing) this.options.log.write('loadPortFailed', { problem: error.message })
     this.isFailing = true
--- a/src/shell/pool/load/loadreporter.test.ts
+++ b/src/shell/pool/load/loadreporter.test.ts
@@ -1,4 +1,4 @@
-/** What owners tell each other of their load, in virtual time, and what they know while some fail. */
+/** Load reports between owners in virtual time, with owners that fail, restart or are cut off. */
 
 import { describe, expect, it } from 'vitest'
 import type { DataCentreId } from '../../../core/id/datacentre.ts'
@@ -23,13 +23,13 @@
   return { id: id as HostId, dataCentre: 'z' as DataCentreId, address: { ip: '10.0.0.1', port: 1 }, linkPort: 1 }
 }
 
-/** One owner; what it has at work is set by hand. */
+/** An owner whose number of running statements is set by the test. */
 class Owner {
   readonly sharedLoad = SharedLoad.create()
   readonly id = G
   atWork = 0
   isUp = true
-  /** Reports that came while it stood still. */
+  /** Reports that arrived while it was suspended. */
   readonly unread: LoadReport[] = []
   hear: (report: LoadReport) => void = () => undefined
   look = () => undefined as void
@@ -39,20 +39,20 @@
   }
 }
 
-/** Owners `a`, `b` and so on in virtual time. */
+/** Owners named `a`, `b` and so on in virtual time. */
 class Owners {
   private now = 0
   private readonly owners = new Map<string, Owner>()
-  /** All that were sent. */
+  /** Total size of the reports sent. */
   bytes = 0
-  /** Whether a report passes from the one to the other. */
+  /** Whether a report from one owner reaches another. */
   passes = (_from: string, _to: string) => true
 
   constructor (private readonly names: string) {
     for (const name of names) this.start(name)
   }
 
-  /** Starts the host, or once more in another life. */
+  /** Starts the owner, or restarts it as a new incarnation. */
   start (name: string): void {
     const owner = new Owner()
     owner.sharedLoad.setOwners([...this.names].filter(id => id !== name).map(hostOf))
@@ -75,7 +75,7 @@
     return this.owners.get(name)!
   }
 
-  /** Each tenth of a second all that don't stand still look; a host that wakes runs its timers first, and reads its sockets then. */
+  /** Ticks all running owners every 100 ms. An owner that resumes runs its timers before it reads its sockets. */
   run (ms: number): void {
     for (let until = this.now + ms; this.now < until;) {
       this.now += 100
@@ -86,7 +86,7 @@
     }
   }
 
-  /** What the owner knows of the others: how many, and what they have at work. */
+  /** The number of other owners that the owner knows, and their running statements. */
   seen (name: string): string {
     const { owners, atWork } = this.at(name).sharedLoad.at(E, this.now as Instant)
     return `${owners}: ${atWork}`
@@ -102,7 +102,7 @@
 }
 
 describe('owners', () => {
-  it('know what the others have, and that one has nothing any more', () => {
+  it('know the load of the others, also when it drops to zero', () => {
     const owners = new Owners('abc')
     owners.at('a').atWork = 4
     owners.run(200)
@@ -115,9 +115,8 @@
     expect(owners.bytes).toBe(bytes)
   })
 
-  it('that all start at once know of nobody, and of all after one report of each', () => {
-    // For as long as nobody has a report each host takes the whole endpoint for its own.
-    // All hosts lose their power and start together.
+  it('that start together know all others after one report of each', () => {
+    // Without reports, each host would use the whole endpoint after a power loss of all hosts.
     const owners = new Owners('abc')
     for (const name of 'abc') owners.at(name).atWork = 2
     expect(owners.seen('a')).toBe('0: 0')
@@ -125,9 +124,8 @@
     expect([...'abc'].map(name => owners.seen(name))).toEqual(['2: 4', '2: 4', '2: 4'])
   })
 
-  it('forget one that is silent', () => {
-    // Statements wait for places that nobody takes.
-    // An owner is killed with statements at work, and never says that it's idle.
+  it('drop the load of an owner that is silent', () => {
+    // An owner that is killed never reports that it's idle, so its places would stay reserved.
     const owners = new Owners('abc')
     owners.at('a').atWork = 4
     owners.run(200)
@@ -138,7 +136,7 @@
     expect(owners.seen('b')).toBe('0: 0')
   })
 
-  it('hear one that was started again at once', () => {
+  it('accept reports of a restarted owner at once', () => {
     const owners = new Owners('ab')
     owners.at('a').atWork = 4
     owners.run(500)
@@ -148,9 +146,8 @@
     expect(owners.seen('b')).toBe('1: 1')
   })
 
-  it('that stood still do not decide by what lay unread', () => {
-    // Statements are refused or sent to other endpoints for a while after a host wakes, though no endpoint is busy.
-    // The host is frozen; others report load and end it; the host reads all that at once, as if it were new.
+  it('that were suspended ignore the reports that arrived meanwhile', () => {
+    // A resumed host would take the old reports in its socket for new ones, and refuse statements though no endpoint is busy.
     const owners = new Owners('ab')
     owners.at('b').atWork = 9
     owners.run(200)
@@ -166,9 +163,8 @@
     expect(owners.seen('a')).toBe('1: 9')
   })
 
-  it('in two halves that are cut off from each other know their own half, and all again afterwards', () => {
-    // One half holds back for load of the other that it can't know, or goes on by what it knew when the cut began.
-    // The link between two data centres is cut for a while.
+  it('in two partitions know the owners of their own partition, and all owners after it heals', () => {
+    // One partition would go on with the load that the other reported before the cut.
     const owners = new Owners('abcd')
     for (const name of 'abcd') owners.at(name).atWork = 1
     owners.run(200)
@@ -180,9 +176,8 @@
     expect(owners.seen('a')).toBe('3: 3')
   })
 
-  it('do not count one that owns the group no more, though it still reports', () => {
-    // Places are left to an owner that has none any more.
-    // A host leaves; the others have taken it out of their lists, and it still ends what it has at work.
+  it('ignore a host that no longer owns the group, though it still reports', () => {
+    // A host that leaves still finishes its running statements; places must not be reserved for it.
     const owners = new Owners('abc')
     owners.at('a').atWork = 4
     owners.run(200)
@@ -191,14 +186,14 @@
     expect([owners.seen('b'), owners.seen('c')]).toEqual(['0: 0', '1: 4'])
   })
 
-  it.each([84, 300, 2000])('send about as many bytes with %d hosts', count => {
+  it.each([84, 300, 2000])('send a bounded number of bytes with %d hosts', count => {
     const hosts = Array.from({ length: count }, (_, i) => ({ ...hostOf(`h${i}`), dataCentre: `z${i % 3}` as DataCentreId, capacity: 0.05 }))
     const { owners } = Ownerships.of([{ id: G, connections: 150, places: { perEndpoint: 2, total: 60 } }], hosts, true, dataCentreAffinity).get(G)!
     expect(owners.length).toBe(18)
     const made = new Owners('abcdefghijklmnopqrst'.slice(0, owners.length))
     for (let i = 0; i < owners.length; i++) made.at('abcdefghijklmnopqrst'[i]!).atWork = 3
     made.run(1000)
-    // As many as ten a second to eight others, of this length.
+    // At most ten reports a second to eight owners, each of this length.
     expect(made.bytes / owners.length).toBeLessThan(10 * 8 * '["a","g",0,10,[["e",3,0,null,0]]]'.length)
   })
 })
--- a/src/shell/pool/load/loadreporter.ts
+++ b/src/shell/pool/load/loadreporter.ts
@@ -1,4 +1,4 @@
-/** Tells the other owners of this host's groups of its load, and takes what they tell. */
+/** Reports this host's load to the other owners of its groups, and takes in their reports. */
 
 import type { GroupId } from '../../../core/id/group.ts'
 import type { HostId } from '../../../core/id/host.ts'
@@ -12,32 +12,32 @@
 
 interface LoadedGroup {
   readonly id: GroupId
-  /** What this host has at each endpoint. */
+  /** This host's load at each endpoint. */
   readonly loads: readonly EndpointLoad[]
   readonly sharedLoad: SharedLoad
 }
 
 interface Options {
   readonly self: HostId
-  /** Greater than in the earlier lives of this host. */
+  /** Greater than that of earlier processes of this host. */
   readonly incarnation: number
   readonly transport: LoadTransport
   readonly groups: () => Iterable<LoadedGroup>
   readonly group: (id: GroupId) => LoadedGroup | undefined
-  /** The clock by which ages of reports are told, */
+  /** The monotonic clock, for the age of reports. */
   readonly now: () => Instant
-  /** and the one that doesn't hide that this host was suspended. */
+  /** The clock that also counts the time for which this host was suspended. */
   readonly age: () => Instant
   readonly log: Log
   readonly metrics: PoolMetrics
 }
 
-/** A host that looks so much later than before stood still: what came in meanwhile lies unread, and may be as old. Milliseconds. */
+/** A host that wasn't ticked for so long was suspended, and has unread reports that may be as old. */
 const SUSPENDED_MS = 300
 
 export class LoadReporter {
   private tickedAt: Instant
-  /** Whether what lay unread while this host stood still is being read now. */
+  /** Whether reports that arrived while this host was suspended are being read now. */
   private isCatchingUp = false
   private number = 0
 
@@ -50,7 +50,7 @@
     return new LoadReporter(options)
   }
 
-  /** To be called about as often as load is reported. */
+  /** Must be called about as often as load is reported. */
   tick (): void {
     const { groups, age } = this.options
     const stoodMs = age() - this.tickedAt
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Guard against a host that stood still and then decides by what lay in its socket, seconds old, as if it were new: it takes nothing until the
-   * next look, by which all that is read. It shows as statements held back for load that ended long before.
+   * A host that was suspended ignores all reports until the next tick, by which it has read those in its socket. They may
+   * be seconds old, and would hold statements back for load that has ended.
    */
   private heard (report: LoadReport): void {
     const { group, now, metrics } = this.options
--- a/src/shell/pool/load/loadsnapshotof.ts
+++ b/src/shell/pool/load/loadsnapshotof.ts
@@ -1,11 +1,11 @@
-/** Gathers what this host has at its groups' endpoints, and who asked lately. */
+/** Collects this host's load at the endpoints of its groups, and the teams that recently sent statements. */
 
 import type { HostId } from '../../../core/id/host.ts'
 import { LoadSnapshot } from '../../../core/pool/load/loadsnapshot.ts'
 import { clock } from '../clock.ts'
 import type { PoolGroup } from '../group.ts'
 
-/** Groups that this host neither owns nor was asked for are left out: their owners tell of them. */
+/** Leaves out groups that this host neither owns nor had statements for; their owners report them. */
 export function loadSnapshotOf (host: HostId, groups: Iterable<PoolGroup>): LoadSnapshot {
   const now = clock.now()
   return LoadSnapshot.of(host, [...groups].flatMap(group => {
--- a/src/shell/pool/load/loadtransport.ts
+++ b/src/shell/pool/load/loadtransport.ts
@@ -1,11 +1,11 @@
-/** How owners tell each other of their load. */
+/** Transport of load reports between the owners of a group. */
 
 import type { LoadReport } from '../../../core/pool/load/loadreport.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 
 export interface LoadTransport {
-  /** Who is told what other hosts report. */
+  /** Sets the listener for reports of other hosts. */
   onReport (listener: (report: LoadReport) => void): void
-  /** Nothing tells whether it arrives. */
+  /** Sends the report without confirmation of delivery. */
   send (hosts: readonly PoolHost[], report: LoadReport): void
 }
--- a/src/shell/pool/load/refusallog.test.ts
+++ b/src/shell/pool/load/refusallog.test.ts
@@ -1,4 +1,4 @@
-/** What the log and the metrics say of groups that refuse, and how much of it. */
+/** Log lines and metrics about groups that refuse statements, and their limits. */
 
 import { afterEach, beforeEach, expect, it, vi } from 'vitest'
 import { LoadSnapshot } from '../../../core/pool/load/loadsnapshot.ts'
--- a/src/shell/pool/load/refusallog.ts
+++ b/src/shell/pool/load/refusallog.ts
@@ -1,4 +1,4 @@
-/** Says in the log which groups refuse statements, and who asked most of them: a line a group in each period in which it refused any. */
+/** Logs the groups that refuse statements with their largest teams, one line per group and interval. */
 
 import { classes } from '../../../core/admission/classes.ts'
 import type { LoadSnapshot } from '../../../core/pool/load/loadsnapshot.ts'
@@ -11,11 +11,11 @@
 
 type Group = LoadSnapshot['groups'][number]
 
-/** As long as the counts reach back, so that a refusal is told once or twice and never more often than this. */
+/** Equal to the period of the counts, so that a refusal appears in one or two lines. */
 const LOG_INTERVAL_MS = 10_000
-/** Groups that are told of in a period, those that refuse most: an outage of all of many must not fill the log. */
+/** Groups logged per interval, those with most refusals first, so that an outage of many groups doesn't flood the log. */
 const MAX_GROUPS = 8
-/** Teams that are named in a line. */
+/** Teams named in a line. */
 const MAX_TEAMS = 3
 
 export class RefusalLog {
--- a/src/shell/pool/load/sharedload.ts
+++ b/src/shell/pool/load/sharedload.ts
@@ -1,4 +1,4 @@
-/** What the owners of one group tell each other of their load, as this one of them knows it. */
+/** The load that the owners of one group report to each other, as known to this host. */
 
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { HostId } from '../../../core/id/host.ts'
@@ -10,7 +10,7 @@
 import { ReportSchedule } from '../../../core/pool/load/reportschedule.ts'
 import type { PoolHost } from '../../../core/pool/placing/host.ts'
 
-/** The only place where the pure values are replaced. */
+/** Holds the immutable values of the reports and replaces them as events come in. */
 export class SharedLoad implements OthersLoad {
   private board = OwnerReports.empty
   private lastReport = ReportSchedule.initial
@@ -22,7 +22,7 @@
     return new SharedLoad()
   }
 
-  /** The other owners; none while every host owns the group, or this one doesn't, and then nothing is told or heard. */
+  /** The other owners. Empty while every host owns the group or this host doesn't own it; no reports are exchanged then. */
   get others (): readonly PoolHost[] {
     return this.owners
   }
@@ -40,19 +40,19 @@
     this.board = this.board.with(report, now)
   }
 
-  /** Drops what counts no more, and tells which owners went silent with load since this was last asked. */
+  /** Drops expired reports; returns the owners that became silent with load since the last call. */
   expire (now: Instant): readonly HostId[] {
     const silent = this.board.silent(now)
     this.board = this.board.withoutExpired(now)
     return silent
   }
 
-  /** As if no report had come. */
+  /** Drops all reports. */
   reset (): void {
     this.board = OwnerReports.empty.forOwners(this.owners.map(({ id }) => id))
   }
 
-  /** Whether to tell the others now; a yes counts as told. */
+  /** Whether to report the loads to the other owners now; records them as reported if so. */
   takeIfDue (loads: readonly EndpointLoad[], now: Instant): boolean {
     if (!this.lastReport.isDue(loads, this.owners.length, now)) return false
     this.lastReport = this.lastReport.with(loads, now)
--- a/src/shell/pool/membership/configcopy.ts
+++ b/src/shell/pool/membership/configcopy.ts
@@ -1,4 +1,4 @@
-/** The compressed copy of the configuration that lies in the store beside it, for hosts that start. */
+/** A compressed copy of the configuration in the store, read by hosts that start. */
 
 import { deflateRawSync, inflateRawSync } from 'node:zlib'
 import * as z from 'zod'
@@ -15,31 +15,30 @@
 
 interface CopiedRows {
   readonly rows: readonly Row[]
-  /** All changes up to it are in the rows. */
+  /** The rows contain all changes up to this version. */
   readonly version: number
 }
 
 const HEAD = 'head'
 const PART = 'part/'
-/** A smaller configuration is read as it is: that is one call, and a hundredth of a second on the slowest link. Characters. */
+/** Smaller configurations aren't copied, since reading them directly takes one call. */
 const MIN_CHARACTERS = 32_768
-/** A part fits a row of the store, 64 KB in base64; */
+/** Keeps a part in base64 within the 64 KB of a store row. */
 const PART_CHARACTERS = 40_000
-/** and all parts one change of it, of a megabyte. A configuration that is larger still is read as it is. */
+/** Keeps all parts within one store change, which is limited to a megabyte. Larger configurations aren't copied. */
 const MAX_PARTS = 16
 
-/** `of`: which rows the parts hold; `version`: these rows are as new as that. */
+/** `of`: the newest version among the rows in the parts; `version`: the rows contain all changes up to it. */
 const headShape = z.object({ of: z.number(), parts: z.int(), version: z.number() })
 const partShape = z.object({ of: z.number(), text: z.string() })
 const rowsShape = z.array(z.object({ key: z.string(), version: z.number(), value: z.string() }))
 
 /**
- * Guard against a second without service after a power loss of all hosts: each read a configuration of 300 KB, which takes 0.4 s on a
- * link of 7 Mbit/s, where the copy takes 0.04 s. The copy alone proves nothing, so whoever
- * takes it asks the store what changed since the version that it's as new as; where the store doesn't know that any more, the whole is read.
+ * Shortens the start of a host with a large configuration. The copy may be outdated, so a reader must ask the store for the
+ * changes since the version of the copy, and read the configuration itself if the store no longer has them.
  */
 export class ConfigCopy {
-  /** Which rows the parts in the store hold, as far as this host wrote them. */
+  /** The newest version among the rows that this host last wrote as parts; undefined if unknown. */
   private written: number | undefined
   private count = 0
   private prefetched: Promise<readonly Row[]> | undefined
@@ -50,14 +49,14 @@
     return new ConfigCopy(options)
   }
 
-  /** Asks for the copy beside the first question of a start: after a power loss of all hosts each way to the store that is saved is a twentieth of a second. */
+  /** Starts reading the copy in parallel with the first store call of a start, which saves a round trip. */
   prefetch (signal: AbortSignal): void {
     const { store, table, metrics } = this.options
     metrics.storeCalls.inc({ call: 'read', table: 'config', why: 'copy' })
     this.prefetched = store.read(table, signal).then(read => read.match(({ rows }) => rows, () => []))
   }
 
-  /** What the copy held at the start; undefined without one that can be used, and later, when the store may have forgotten what changed since. */
+  /** The prefetched copy; undefined if there is no valid one, and on later calls, when the store may no longer have the changes since. */
   async read (): Promise<CopiedRows | undefined> {
     const rows = await this.prefetched ?? []
     this.prefetched = undefined
@@ -68,7 +67,7 @@
     return decoded.success ? { rows: decoded.data, version: head.version } : undefined
   }
 
-  /** Keeps the copy; false when it isn't known whether the store has it. Without a call where none is needed. */
+  /** Writes the copy, unless it isn't needed; resolves with false if the store may not have it. */
   async write ({ rows, version }: CopiedRows, signal: AbortSignal): Promise<boolean> {
     const { store, table, metrics } = this.options
     const of = Math.max(0, ...rows.map(row => row.version))
@@ -87,7 +86,7 @@
   }
 }
 
-/** None for a configuration that is read as it is. */
+/** Empty for a configuration that isn't copied. */
 function partsOf (rows: readonly Row[]): readonly string[] {
   const text = JSON.stringify(rows)
   if (text.length < MIN_CHARACTERS) return []
@@ -105,7 +104,7 @@
   return Number(key.slice(PART.length))
 }
 
-/** Nothing for bytes that are cut or foreign: the copy is then not used. */
+/** Returns an empty string for invalid data, so that the copy isn't used. */
 function unpack (text: string): string {
   try {
     return inflateRawSync(Buffer.from(text, 'base64')).toString('utf8')
--- a/src/shell/pool/membership/configuration.ts
+++ b/src/shell/pool/membership/configuration.ts
@@ -1,4 +1,4 @@
-/** The operator's configuration that is in force in this process. */
+/** The operator's configuration in force in this process. */
 
 import type { Result } from 'neverthrow'
 import type { ConfigVersion } from '../../../core/id/version.ts'
@@ -27,7 +27,7 @@
     return new Configuration(options)
   }
 
-  /** Without databases until the first is known. */
+  /** The configuration in force; one without databases until the first is read. */
   get config (): PoolConfig {
     return this.current
   }
@@ -36,7 +36,7 @@
     return this.wasRead
   }
 
-  /** Whether a newer version came into force; an older one never does again, whoever offers it. */
+  /** Applies the configuration if it's newer than the one in force; returns whether it was. Older versions are ignored. */
   apply (rows: readonly Row[]): boolean {
     const { log, metrics, key, parse } = this.options
     const newest = rows.findLast(row => row.key === key)
--- a/src/shell/pool/membership/endpointlisting.ts
+++ b/src/shell/pool/membership/endpointlisting.ts
@@ -1,4 +1,4 @@
-/** The endpoints that list themselves in the store, as this process has heard of them. */
+/** The endpoints that list themselves in the store, as known to this process. */
 
 import { Directory } from '../../../core/directory/directory.ts'
 import type { Endpoint } from '../../../core/directory/endpoint.ts'
@@ -11,7 +11,7 @@
 interface Options {
   readonly log: Log
   readonly parse: (id: string, text: string) => Endpoint | undefined
-  /** The directory may have changed. */
+  /** Called when the directory may have changed. */
   readonly onChange: () => void
 }
 
@@ -30,19 +30,19 @@
     return this.current
   }
 
-  /** Whether the list was read once. */
+  /** Whether the list was read at least once. */
   get isRead (): boolean {
     return this.wasRead
   }
 
-  /** Rows that changed, erased ones among them. */
+  /** Takes in changed rows, including erased ones. */
   applyRows (rows: readonly Row[]): void {
     for (const row of rows) this.applyRow(row)
     this.wasRead = true
     this.options.onChange()
   }
 
-  /** To be called now and then: drops those that lapsed and didn't come back. */
+  /** Removes endpoints whose rows were erased and didn't come back in time. Must be called regularly. */
   removeLapsed (): void {
     const due = this.lapses.expired(clock.now())
     if (due.length === 0) return
--- a/src/shell/pool/membership/messagecodec.ts
+++ b/src/shell/pool/membership/messagecodec.ts
@@ -1,4 +1,4 @@
-/** Words between hosts as lines of JSON, long ones compressed. */
+/** Encodes messages between hosts as lines of JSON; long ones are compressed. */
 
 import { deflateRawSync, inflateRawSync } from 'node:zlib'
 import * as z from 'zod'
@@ -8,7 +8,7 @@
 import { tableNames } from '../../../core/pool/membership/tablenames.ts'
 import { readJson } from '../../../core/readjson.ts'
 
-/** From here on compressing saves more of a link than it takes of a processor: a configuration of 300 KB shrinks to a tenth. Characters. */
+/** Shorter messages aren't worth compressing. */
 const COMPRESS_FROM_CHARACTERS = 2000
 
 const versions = z.partialRecord(z.enum(tableNames), z.number())
@@ -31,11 +31,11 @@
 ])
 const packed = z.object({ packed: z.string() })
 
-/** A reader tells the same word to all who follow it, so it's made into a line once. */
+/** Caches encoded lines, since a host sends the same message to all its followers. */
 const encoded = new WeakMap<SyncMessage, string>()
 
 export const messageCodec = {
-  /** With its end. */
+  /** The line of a message, including the line feed. */
   encode (said: SyncMessage): string {
     const known = encoded.get(said)
     if (known !== undefined) return known
@@ -45,7 +45,7 @@
     return line
   },
 
-  /** Undefined for a line that is no word, such as that of another program. */
+  /** Undefined for a line that isn't a valid message. */
   decode (line: string): SyncMessage | undefined {
     const json = readJson(line)
     const long = packed.safeParse(json)
@@ -58,7 +58,7 @@
   try {
     return inflateRawSync(Buffer.from(text, 'base64')).toString('utf8')
   } catch {
-    // Cut or foreign bytes: the line is no word then, and its link ends.
+    // The empty string is no valid message, so the caller closes the link.
     return ''
   }
 }
--- a/src/shell/pool/membership/messagelink.ts
+++ b/src/shell/pool/membership/messagelink.ts
@@ -1,4 +1,4 @@
-/** A connection over which two hosts say words to each other. */
+/** A connection on which two hosts exchange messages. */
 
 import { connect, type Socket } from 'node:net'
 import { StringDecoder } from 'node:string_decoder'
@@ -9,17 +9,14 @@
 interface Listeners {
   readonly onOpen?: () => void
   readonly onMessage: (word: SyncMessage) => void
-  /** Once, and not after `close`. */
+  /** Called once when the connection ends, but not after `close`. */
   readonly onEnd: () => void
 }
 
-/** A configuration with a hundred thousand databases, compressed; a longer line is none of ours. Characters. */
+/** Enough for a compressed configuration with a hundred thousand databases. */
 const MAX_LINE_CHARACTERS = 16_777_216
 
-/**
- * Lines over a connection of its own, in place of a stream of the house's library between processes: its modules would be
- * loaded at each start, which is time without service, and nothing here needs its codecs.
- */
+/** Uses plain TCP with lines, without an RPC library, whose modules would lengthen each start. */
 export class MessageLink {
   private readonly decoder = new StringDecoder('utf8')
   private rest = ''
@@ -57,7 +54,7 @@
     for (const line of lines) {
       if (this.isEnded) return
       const word = messageCodec.decode(line)
-      // What can't be read may hold anything, also the end of a row, so the link begins anew.
+      // An invalid line may have contained rows, so the link must be opened again.
       if (word === undefined) return this.end()
       this.listeners.onMessage(word)
     }
--- a/src/shell/pool/membership/rowstore.ts
+++ b/src/shell/pool/membership/rowstore.ts
@@ -1,4 +1,4 @@
-/** Tables of versioned rows that all hosts share. */
+/** A store with tables of versioned rows, shared by all hosts. */
 
 import type { Result } from 'neverthrow'
 import type { Row } from '../../../core/pool/membership/row.ts'
@@ -8,27 +8,27 @@
   readonly key: string
   /** Undefined erases the row. */
   readonly value: string | undefined
-  /** The version that the row must have, 0 for none; undefined when any will do. */
+  /** The version that the row must have, 0 if it must not exist; undefined for any. */
   readonly expected?: number
 }
 
 interface Rows {
   readonly rows: readonly Row[]
-  /** The newest version that the answer takes into account. */
+  /** The rows contain all changes up to this version. */
   readonly version: number
-  /** What the store's own clock showed as it answered, in milliseconds; it never goes back. */
+  /** The store's clock at the time of the answer, in milliseconds; it's monotonic. */
   readonly storeMs: number
 }
 
-/** `unavailable`: no answer, or none that can be used; a change may have been made, or be made later. */
+/** `unavailable`: no usable answer; a change may have been made, or may still be made. */
 type Fault = 'unavailable' | 'throttled'
 
-/** Every method resolves, within its time. */
+/** Every method resolves within its time limit and never rejects. */
 export interface RowStore {
-  /** All rows of a table as of one moment, or those whose keys begin so. */
+  /** A consistent read of all rows of a table, or of those whose keys begin with `prefix`. */
   read (table: string, signal: AbortSignal, prefix?: string): Promise<Result<Rows, Fault>>
-  /** What changed after the version, as soon as something did or the time is over. `forgotten`: that is not known any more. */
+  /** Long poll: the rows changed after a version, as soon as there are any or after `waitMs`. `forgotten`: the store no longer has these changes. */
   changes (table: string, after: number, waitMs: number, signal: AbortSignal): Promise<Result<Rows, Fault | 'forgotten'>>
-  /** Makes all changes or none; the version of the changes. `conflict`: a row had another version. */
+  /** Makes all changes or none; resolves with their version. `conflict`: a row had another version than expected. */
   change (changes: readonly Change[], signal: AbortSignal): Promise<Result<number, Fault | 'conflict'>>
 }
--- a/src/shell/pool/membership/tablereplicator.ts
+++ b/src/shell/pool/membership/tablereplicator.ts
@@ -1,4 +1,4 @@
-/** Keeps what this process knows of the store's tables: carries out what its control decides. */
+/** Keeps the store's tables up to date in this process: performs the actions that `TableSync` decides on. */
 
 import { createServer } from 'node:net'
 import { setTimeout as pause } from 'node:timers/promises'
@@ -24,35 +24,35 @@
 interface Options {
   readonly self: PoolHost
   readonly pace: SyncTimings
-  /** Where hosts that the settings name take links. */
+  /** Link addresses of the seed hosts in the settings. */
   readonly seeds: readonly LinkId[]
-  /** Whether the whole system starts for the first time. */
+  /** Whether the whole system starts for the first time, with empty tables. */
   readonly isFirstStart: boolean
   readonly store: RowStore
-  /** What the tables are called in the store. */
+  /** Names of the tables in the store. */
   readonly names: Readonly<Record<TableName, string>>
-  /** Where the copy of the configuration lies. */
+  /** Name of the table with the copy of the configuration. */
   readonly copyTable: string
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly chance: () => number
-  /** Rows changed, erased ones among them; `isFirst`: the table wasn't known before. */
+  /** Called with changed rows, including erased ones; `isFirst`: the table wasn't known before. */
   readonly onRows: (table: TableName, rows: readonly Row[], isFirst: boolean) => void
-  /** The hosts that are alive changed. */
+  /** Called when the list of live hosts changed. */
   readonly onHostsChange: () => void
-  /** Once, when what is known is enough to serve. */
+  /** Called once, when enough is known to serve. */
   readonly onReady: () => void
 }
 
 type Ask = Extract<SyncAction, { kind: 'ask' }>
 type Write = Extract<SyncAction, { kind: 'write' }>
 
-/** A fifth of the time after which a host counts as silent, with the shortest bounds that are known. */
+/** A fifth of the shortest time after which a host counts as silent. */
 const TICK_MS = 100
-/** A host that leaves tells others, or writes to the store, within this time; the shortest grace that is known leaves 0.8 s for all that is done at the end. */
+/** Longest time to announce that this host leaves; the shortest grace period leaves 0.8 s for the whole shutdown. */
 const LEAVE_MS = 300
 const LEAVE_POLL_MS = 10
-/** The copy is there within this time, on a link of 7 Mbit/s and beside a start's work; later the operator's row is read, which takes 0.4 s on such a link. */
+/** Longest wait for the copy of the configuration before the configuration itself is read. */
 const COPY_MS = 100
 
 export class TableReplicator {
@@ -65,7 +65,7 @@
   private wasReady = false
   private readonly failing = new Set<TableName>()
   private why: Ask['why'] | 'others' = 'others'
-  /** Those who wait for rows that another host has. */
+  /** Wakes calls that wait for newer rows from another host. */
   private readonly waiting = Waiters.create()
 
   private readonly configCopy: ConfigCopy
@@ -75,7 +75,7 @@
     this.configCopy = ConfigCopy.create({ store, table, metrics })
     const { self, pace, seeds, isFirstStart } = options
     const own = linkOf(self)
-    // A host that starts anew contradicts what was said of its life before, whatever the time of day says by then.
+    // A restarted host must override the entry of its earlier incarnation. A higher number is chosen if the clock was set back.
     const entry = { ...self, incarnation: Date.now(), isLeaving: false }
     this.control = TableSync.create({ self: entry, pace, seeds: seeds.filter(seed => seed !== own), isSeed: seeds.includes(own), isFirstStart }, clock.now())
   }
@@ -89,46 +89,46 @@
       clearInterval(timer)
       for (const link of [...tables.sources.values(), ...tables.followers.values()]) link.close()
     })
-    // At the first start of the whole system nobody has made a copy yet, and each host would ask for it.
+    // At the first start of the whole system there is no copy yet.
     if (!options.isFirstStart) tables.configCopy.prefetch(signal)
     tables.step({ kind: 'tick' })
     return tables
   }
 
-  /** This host among them, in the order of their ids. */
+  /** The live hosts, including this one, ordered by id. */
   get hosts (): readonly PoolHost[] {
     return this.control.hosts
   }
 
-  /** Whether what is known is enough to serve; once it is, it stays so. */
+  /** Whether enough is known to serve. Stays true once it is. */
   get isReady (): boolean {
     return this.wasReady
   }
 
-  /** Whether every table is known. */
+  /** Whether all tables are known. */
   get isKnown (): boolean {
     return this.control.hasAllTables
   }
 
-  /** Milliseconds for which the table may have been another one in the store. */
+  /** The staleness of the table: milliseconds for which the store may have had a newer one. */
   ageMs (table: TableName): number {
     return this.control.ageMs(table, clock.age())
   }
 
-  /** Resolves once a host that has something newer has told of it, or after the time. */
+  /** Asks a host for newer rows; resolves when some arrive, or after `ms`. */
   async consult (host: PoolHost, ms: number): Promise<void> {
     this.step({ kind: 'consult', link: linkOf(host) })
     await this.waiting.wait(ms)
   }
 
-  /** Tells that this host leaves. */
+  /** Announces that this host leaves. */
   async leave (): Promise<void> {
     this.step({ kind: 'leave' })
     const until = clock.now() + LEAVE_MS
     while (this.control.isWriting && clock.now() < until) await pause(LEAVE_POLL_MS)
   }
 
-  /** One after the other, since what an event brings about may be another event, and words must leave in their order. */
+  /** Handles events one at a time, since an action may cause another event, and messages must be sent in order. */
   private step (event: SyncEvent): void {
     if (this.signal.aborted) return
     this.events.push(event)
@@ -196,10 +196,8 @@
   }
 
   /**
-   * The configuration by its copy, and what changed since it was as new as it says; undefined when that can't be told, or not soon.
-   *
-   * Guard against a start that waits for the copy in an outage of this system's own tables: the operator's row is there meanwhile. It showed as
-   * 0.75 s, the limit of a call, without service at each of seven hosts.
+   * The configuration from its copy and the changes since then; undefined if the copy is invalid or doesn't arrive in time.
+   * The time limit matters in an outage of the proxy's own tables, during which the operator's table can still be read.
    */
   private async readCopy (): Promise<{ readonly rows: readonly Row[], readonly version: number, readonly storeMs: number } | undefined> {
     const { store, names, metrics } = this.options
--- a/src/shell/pool/metrics.ts
+++ b/src/shell/pool/metrics.ts
@@ -1,12 +1,12 @@
-/** The counters and histograms of a process that pools connections. */
+/** The metrics of a process that pools connections. */
 
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 import { auditMetrics } from '../audit/metrics.ts'
 
-/** From 0.5 ms, below any round trip, to 4 s, above the longest statement, each half again as long as the one before. */
+/** Bucket bounds in seconds: from 0.5 ms, below any round trip, to 4 s, above the longest statement. */
 const SECONDS = Array.from({ length: 23 }, (_, i) => 0.0005 * 1.5 ** i)
 
-/** All registered once a process; read when they are asked for. */
+/** Created once per process. */
 export class PoolMetrics {
   readonly registry = new Registry()
   readonly statements = new Counter({
--- a/src/shell/pool/node.ts
+++ b/src/shell/pool/node.ts
@@ -1,4 +1,4 @@
-/** One process: follows the store, keeps its groups, and serves sessions. */
+/** The root object of a process: follows the store, maintains the groups, and serves sessions. */
 
 import type { KeyDigest } from '../../core/pool/access/keydigest.ts'
 import { permissionOf } from '../../core/pool/access/permission.ts'
@@ -24,23 +24,23 @@
 import { TableReplicator } from './membership/tablereplicator.ts'
 import { Waiters } from './waiters.ts'
 
-/** Where what hosts tell each other through the store lies: leases, objections and handovers; */
+/** Store table for leases, objections and handovers. */
 const TABLE = 'agatepond'
-/** and who is there. */
+/** Store table of the hosts that are alive. */
 const ROLL_TABLE = 'agatepond-hosts'
-/** The copy of the configuration. */
+/** Store table of the compressed copy of the configuration. */
 const COPIES_TABLE = 'agatepond-copies'
-/** A host that is asked for something newer answers in milliseconds; one that doesn't must not hold a sign-in up. */
+/** Longest wait for a newer configuration from another host, so that a sign-in isn't delayed by a host that doesn't answer. */
 const CATCH_UP_MS = 300
-/** How often each group's primary is looked at, and its load is told. */
+/** Interval at which each group's primary is checked and its load reported. */
 const TICK_MS = 100
-/** How often it's looked whether the hosts that issue tokens are there. */
+/** Interval at which the hosts that issue tokens are checked. */
 const ISSUER_CHECK_MS = 500
 
 export class PoolNode {
-  /** Where what hosts tell each other through the store lies. */
+  /** The store table that all hosts share. */
   static readonly table = TABLE
-  /** Where the roll of hosts lies. */
+  /** The store table of the hosts that are alive. */
   static readonly rollTable = ROLL_TABLE
   readonly context: PoolContext
   private readonly groups: PoolGroups
@@ -48,7 +48,7 @@
   private readonly tableReplicator: TableReplicator
   private readonly configuration: Configuration
   private unreachableHosts = UnreachableHosts.none
-  /** Callers who came before the process was ready. */
+  /** Callers that wait until the process is ready. */
   private readonly startWaiters = Waiters.create()
   private readonly startedAt = clock.now()
 
@@ -115,18 +115,16 @@
   }
 
   /**
-   * Whether it can serve: with a configuration, the directory and the other hosts.
+   * Whether it knows the configuration, the directory and the other hosts.
    *
-   * Guard against a host that takes itself for the only one at its start: the callers that
-   * wait for it would all be served by it and not by the owners, each on a connection of its own, for as long as
-   * their sessions last. It shows, after all hosts lost their power, as endpoints that turn connections away and statements that
-   * wait for one (a second and a half with 88 hosts).
+   * The other hosts must be known, since a host that takes itself for the only one would serve all callers that wait for it
+   * instead of passing them on to the owners, each on a connection of its own, for as long as their sessions last.
    */
   get isReady (): boolean {
     return this.configuration.isKnown && this.tableReplicator.isReady
   }
 
-  /** What operators see of this host's load. */
+  /** This host's load, for operators. */
   get load (): LoadSnapshot {
     return loadSnapshotOf(this.options.self.id, this.groups.all)
   }
@@ -136,10 +134,8 @@
   }
 
   /**
-   * Guard against a session that is passed on to a host with an older
-   * configuration, as one that the store turns away: its database may be unknown there,
-   * although the host that passes it on knows it. The version comes with the
-   * session, and a host that is behind asks the other one first.
+   * Fetches a newer configuration from the host that forwards a session, before the session is served.
+   * Otherwise a host that is behind, for example while the store refuses its calls, may not know the session's database.
    */
   private async catchUpConfig (version: number, host: string): Promise<void> {
     if (version <= this.config.version) return
@@ -154,12 +150,12 @@
     return this.isReady
   }
 
-  /** Lets those in who came before the process was ready. */
+  /** Wakes the callers that wait until the process is ready. */
   private wakeIfReady (): void {
     if (this.isReady) this.startWaiters.wake()
   }
 
-  /** Tells the other hosts that this one leaves. */
+  /** Announces to the other hosts that this one leaves. */
   async leave (): Promise<void> {
     await this.tableReplicator.leave()
   }
--- a/src/shell/pool/nodeoptions.ts
+++ b/src/shell/pool/nodeoptions.ts
@@ -1,4 +1,4 @@
-/** What a process is started with, and the ways to what is outside of it. */
+/** Settings and external services of a process. */
 
 import type { AllowanceBounds } from '../../core/allowance/bounds.ts'
 import type { LinkId } from '../../core/pool/membership/linkid.ts'
@@ -13,28 +13,28 @@
 
 export interface NodeOptions {
   readonly self: PoolHost
-  /** Where hosts that the settings name take links; this one may be among them. */
+  /** Link addresses of the seed hosts in the settings; this host may be among them. */
   readonly seeds: readonly LinkId[]
-  /** Whether the whole system starts for the first time. */
+  /** Whether the whole system starts for the first time, with empty tables. */
   readonly isFirstStart: boolean
-  /** Milliseconds within which a new configuration is to be in force. */
+  /** Milliseconds within which a new configuration must be in force. */
   readonly applyMs: number
-  /** Milliseconds for which an endpoint serves after it said that it leaves. */
+  /** Milliseconds for which an endpoint keeps serving after it announced that it leaves. */
   readonly drainMs: number
-  /** Milliseconds for which the store knows what changed. */
+  /** Milliseconds for which the store keeps its history of changes. */
   readonly historyMs: number
-  /** Milliseconds after which no host serves a key that was taken away, in touch or not; undefined where that isn't asked. */
+  /** Milliseconds after which no host serves a revoked key, even if it's cut off from the others; undefined without such a limit. */
   readonly revokeMs?: number | undefined
-  /** How exactly allowances of teams are kept, and the way to those who issue them; undefined where teams have none. */
+  /** The precision of team allowances, and the transport to the hosts that issue tokens; undefined where teams have no allowances. */
   readonly allowances?: { readonly bounds: AllowanceBounds, readonly port: TokenTransport } | undefined
-  /** Where a team's sessions meet if few owners are picked: at one of them, unless the data centres are far from each other. */
+  /** Which owners serve a team's sessions where a group has few owners; by default a small team has one owner. */
   readonly affinity?: TeamAffinity | undefined
-  /** How owners tell each other of their load; undefined where they don't. */
+  /** Transport of load reports between owners; undefined where owners don't report load. */
   readonly loadTransport?: LoadTransport | undefined
   readonly platform: Platform
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly chance: () => number
-  /** Undefined when the operator wants no records. */
+  /** Undefined if audit records are turned off. */
   readonly auditor?: Auditor | undefined
 }
--- a/src/shell/pool/platform.ts
+++ b/src/shell/pool/platform.ts
@@ -1,4 +1,4 @@
-/** What a node needs of the platform that it runs on. */
+/** The services that a process needs from the platform it runs on. */
 
 import type { Result } from 'neverthrow'
 import type { Endpoint } from '../../core/directory/endpoint.ts'
@@ -11,8 +11,8 @@
   readonly store: RowStore
   readonly dialer: Dialer
   readonly orders: PromotionOrders
-  /** Where the operator's configuration lies: its newest version, whole, under one key. */
+  /** The table and key of the operator's configuration; the row holds the whole newest version. */
   readonly config: { readonly table: string, readonly key: string, readonly parse: (text: string) => Result<PoolConfig, string> }
-  /** Where endpoints list themselves, each under its id. */
+  /** The table in which endpoints list themselves, each under its id. */
   readonly endpoints: { readonly table: string, readonly parse: (id: string, text: string) => Endpoint | undefined }
 }
--- a/src/shell/pool/readrouter.ts
+++ b/src/shell/pool/readrouter.ts
@@ -1,4 +1,4 @@
-/** Where a group's reads go, and what is counted for it where owners are picked and endpoints tell their places. */
+/** Chooses endpoints for a group's reads, and tracks their health and load where the group has assigned owners and endpoints report their places. */
 
 import type { Endpoint } from '../../core/directory/endpoint.ts'
 import type { DataCentreId } from '../../core/id/datacentre.ts'
@@ -27,12 +27,12 @@
   readonly chance: () => number
 }
 
-/** What the group knows as a read comes. */
+/** The group's state at the time of a read. */
 interface View {
   readonly endpoints: readonly Endpoint[]
   readonly primary: EndpointId | undefined
   readonly progress: LogProgress
-  /** Whether owners were picked, and this host is one. */
+  /** Whether the group has assigned owners and this host is one. */
   readonly isShared: boolean
   readonly standing: (id: EndpointId) => LogState
   readonly lender: (id: EndpointId) => ConnectionPool | undefined
@@ -40,26 +40,26 @@
 }
 
 interface Read {
-  /** Its endpoint's log must hold the position. */
+  /** The endpoint's log must contain this position. */
   readonly position: Token
-  /** Whose connections serve it. */
+  /** The team whose connections serve the read. */
   readonly team: TeamId | undefined
-  /** Endpoints that didn't do it. */
+  /** Endpoints that were tried before. */
   readonly tried: ReadonlySet<EndpointId>
-  /** Until its time is up, in milliseconds. */
+  /** Milliseconds until the read's deadline. */
   readonly leftMs: number
 }
 
 interface ReadPlacement {
   readonly endpoint: EndpointId
-  /** The read is to be held for so long, since the endpoint won't have what it needs before; milliseconds. */
+  /** Milliseconds to delay the read until the endpoint is expected to have the position. */
   readonly waitMs: number
 }
 
-/** Endings by which an endpoint shows that it isn't well. */
+/** Endings that count as failures in an endpoint's health. */
 const FAILED: ReadonlySet<Ending> = new Set<Ending>(['failed', 'timeout', 'broken', 'outOfTime'])
 
-/** The only place where what owners share about reads is replaced. */
+/** Holds the state of reads that a group's owners share, and replaces it as events come in. */
 export class ReadRouter {
   private readonly shared = ReadBalancer.create()
 
@@ -69,7 +69,7 @@
     return new ReadRouter(options, view)
   }
 
-  /** Where a read goes next; undefined when no endpoint is left. */
+  /** The endpoint to try next; undefined if none is left. */
   place ({ position, team, tried, leftMs }: Read): ReadPlacement | undefined {
     const now = clock.now()
     const view = this.view()
@@ -91,22 +91,22 @@
     return placed
   }
 
-  /** Takes what the group's other owners have at its endpoints from now on. */
+  /** Sets the source of the other owners' load. */
   setOthersLoad (others: OthersLoad): void {
     this.shared.setOthersLoad(others)
   }
 
-  /** How the endpoint answered this owner lately. */
+  /** Recent answers of the endpoint to this owner. */
   answers (id: EndpointId): ResponseStats {
     return this.shared.health.responses(id)
   }
 
-  /** The part of its reads that the endpoint keeps, by how it served them; from 0 to 1. */
+  /** The fraction of its reads that the endpoint keeps given its health, from 0 to 1. */
   readShare (id: EndpointId): number {
     return this.shared.health.part(id)
   }
 
-  /** A statement of a caller goes to the endpoint; what is returned is called with how it ended. Undefined where nobody counts that, as for a host that takes the way. */
+  /** Records a caller's statement sent to the endpoint. The returned function takes its ending; undefined where load isn't counted, as for a forwarding host. */
   sent (id: EndpointId): ((ending: Ending | 'done') => void) | undefined {
     const { endpoints, isShared } = this.view()
     const endpoint = isShared ? endpoints.find(one => one.id === id) : undefined
@@ -116,7 +116,7 @@
     return ending => ended(ending === 'done' ? 'done' : FAILED.has(ending) ? 'failed' : 'notRun', clock.now())
   }
 
-  /** The endpoint showed how far its log reaches. */
+  /** Records the endpoint's log position. */
   answered (id: EndpointId, position: Token): void {
     const { progress, isShared } = this.view()
     if (isShared) this.shared.answered(id, position, progress, clock.age())
@@ -126,7 +126,7 @@
     this.shared.recordRefusal(id, clock.age())
   }
 
-  /** The endpoint is gone, or began anew under its id. */
+  /** Drops the state of an endpoint that is gone, or that was replaced under the same id. */
   removeEndpoint (id: EndpointId): void {
     this.shared.forget(id)
   }
--- a/src/shell/pool/statements/auditor.ts
+++ b/src/shell/pool/statements/auditor.ts
@@ -1,4 +1,4 @@
-/** Makes the audit records of a process's sessions, and brings them to the object store. */
+/** Creates the audit records of a process's sessions and writes them to the object store in batches. */
 
 import { auditRecordOf } from '../../../core/pool/statements/auditrecord.ts'
 import { AuditId } from '../../../core/audit/id.ts'
@@ -8,17 +8,13 @@
 type Options = Omit<Parameters<typeof Batches.start>[0], 'limits'>
 
 /**
- * Each batch is a call to a store whose calls are counted, and a process without a disk loses the open one when it's killed.
- * So a batch is cut after ten seconds, or, with less than a tenth of what fits into it, after thirty: many hosts with little work each
- * would else make most of all calls. The buffer holds an hour's outage at ten statements a
- * second (250 characters a record), within a twentieth of the memory that hosts have.
+ * Calls to the store are charged, and a killed process loses its open batch, so a batch is closed after ten seconds, or after
+ * thirty if it has few records. The buffer is enough for an hour's outage of the store at ten statements a second.
  */
 const LIMITS = { records: 5000, bytes: 1_048_576, ageMs: 10_000, smallBatch: { records: 500, ageMs: 30_000 }, bufferBytes: 8_388_608 }
-/**
- * What statements leave is made into records so much later: a process that has just started serves those who
- * wait for it first. More than so many are dropped and counted, as at a hundred times the planned load of a host.
- */
+/** Delay before records are created, so that a process that has just started serves waiting callers first. */
 const RECORD_DELAY_MS = 2000
+/** Limit on statements that wait for their records; more are dropped and counted. */
 const MAX_WAITING = 50_000
 
 export class Auditor {
@@ -34,7 +30,7 @@
     return auditor
   }
 
-  /** Takes in a statement that has ended; the id of its record. */
+  /** Adds a statement that has ended; returns the id of its record. */
   take (audited: Omit<Audited, 'id' | 'at'>): string {
     const { host, incarnation, metrics } = this.options
     const at = Math.round(Date.now() - audited.tookMs)
@@ -44,7 +40,7 @@
     return id
   }
 
-  /** Stores what is in memory; resolves within `ms`. */
+  /** Writes the records in memory to the store; resolves within `ms`. */
   async flush (ms: number): Promise<void> {
     this.record()
     await this.batches.flush(ms)
--- a/src/shell/pool/statements/congestionof.ts
+++ b/src/shell/pool/statements/congestionof.ts
@@ -1,4 +1,4 @@
-/** Looks at what a statement met that was refused for want of room. */
+/** Collects the context of a statement that was refused for lack of capacity. */
 
 import type { Congestion } from '../../../core/pool/statements/congestion.ts'
 import type { Fault } from '../../../core/statement/fault.ts'
@@ -12,7 +12,7 @@
   readonly retryAfterMs: number
 }
 
-/** Endpoints that are told: records are kept for long, and what binds shows at few. */
+/** Limit on endpoints in an audit record. */
 const MAX_ENDPOINTS = 4
 
 /** Undefined for a statement that was refused for another reason. */
--- a/src/shell/pool/statements/explanation.ts
+++ b/src/shell/pool/statements/explanation.ts
@@ -1,4 +1,4 @@
-/** The line that explains a statement: what was decided, on which knowledge, of which age. */
+/** Counts, records and logs each statement that has ended, with the state that its decisions were based on. */
 
 import { classes } from '../../../core/admission/classes.ts'
 import type { Cause } from '../../../core/pool/statements/cause.ts'
@@ -23,16 +23,16 @@
   readonly transaction: Transaction | undefined
   readonly newestCommit: Token
   readonly retryAfterMs: number
-  /** What lies behind a refusal; undefined where its fault says it all. */
+  /** The cause of a refusal, for operators; undefined if the fault is specific enough. */
   readonly cause: Cause | undefined
 }
 
-/** Under whose name statements are counted where callers have no keys. */
+/** The name for counting statements where callers have no keys. */
 const ALL_CALLERS = 'all callers'
 
 /**
- * Counts the statement, records it, and writes its line when it wasn't done,
- * when it took more than one try, or for the sample. The id of the record; undefined without one.
+ * Counts and records the statement, and logs it if it wasn't done, took more than one try, or is sampled. Returns the id of its
+ * audit record; undefined without one.
  */
 export function explain (ctx: PoolContext, explained: Explained): string | undefined {
   const ms = clock.now() - explained.trail.since
@@ -41,7 +41,7 @@
   return record(ctx, explained, ms, met)
 }
 
-/** Counts the statement for who looks for whose load a group has; what it met when it was refused for want of room. */
+/** Counts the statement in its group's usage by team; returns the context of a refusal for lack of capacity. */
 function countUsage (ctx: PoolContext, { database, caller, reply, trail, transaction, retryAfterMs }: Explained): Congestion | undefined {
   const config = ctx.config()
   const route = transaction?.route ?? config.route(database)
@@ -53,7 +53,7 @@
   return met
 }
 
-/** What this process answers by itself and takes, such as a value that is set, promises nothing that a record could show. */
+/** Statements that this process answers by itself, such as SET, aren't recorded unless they are refused. */
 function record ({ auditor, config }: PoolContext, { id, session, caller, kind, database, reply, trail, transaction }: Explained, tookMs: number, met: Congestion | undefined): string | undefined {
   if (reply.kind === 'done' && trail.count === 0) return undefined
   const route = transaction?.route ?? config().route(database)
@@ -92,7 +92,7 @@
   }
 }
 
-/** What the decisions on the statement rested on. */
+/** The state that the decisions on the statement were based on. */
 function knowledge (ctx: PoolContext, { database, trail, transaction, newestCommit: own, retryAfterMs }: Explained): Readonly<Record<string, string | number>> {
   const config = ctx.config()
   const route = transaction?.route ?? config.route(database)
--- a/src/shell/pool/statements/left.ts
+++ b/src/shell/pool/statements/left.ts
@@ -1,4 +1,4 @@
-/** What is left until a deadline. */
+/** The time left until a deadline. */
 
 import type { Instant } from '../../../core/id/instant.ts'
 import { clock } from '../clock.ts'
--- a/src/shell/pool/statements/operation.ts
+++ b/src/shell/pool/statements/operation.ts
@@ -1,4 +1,4 @@
-/** An operation that is tried from endpoint to endpoint. */
+/** An operation, which may be tried at several endpoints. */
 
 import type { Instant } from '../../../core/id/instant.ts'
 import type { Ending } from '../../../core/pool/statements/ending.ts'
@@ -17,20 +17,20 @@
   readonly database: string
   readonly what: EndpointStatement['what']
   readonly deadline: Instant
-  /** Whether only the primary may do it. */
+  /** Whether only the primary may run it. */
   readonly mustLead: boolean
   /** Whether another host may run it. */
   readonly mayDetour: boolean
-  /** Whether it begins a caller's transaction. */
+  /** Whether it's the first statement of a caller's transaction. */
   readonly isInTransaction: boolean
-  /** The session's newest commit, and what it has set and prepared. */
+  /** Position of the session's newest commit, and the session values. */
   readonly own: Token
   readonly values: SessionState
-  /** The session's; undefined without one. */
+  /** The caller's key; undefined without one. */
   readonly key: KeyDigest | undefined
   /** Aborted once the caller has left. */
   readonly gone: AbortSignal
-  /** Where each try is noted. */
+  /** Collects the tries. */
   readonly trail: TryHistory
   readonly run: (attempt: Attempt, target: Target) => Promise<Answer | Ending>
 }
--- a/src/shell/pool/statements/receipt.ts
+++ b/src/shell/pool/statements/receipt.ts
@@ -1,4 +1,4 @@
-/** Whether the endpoint that a leaving primary hands over to has received a commit. */
+/** Checks whether the successor of a leaving primary has received a commit. */
 
 import { setTimeout as pause } from 'node:timers/promises'
 import type { EndpointId } from '../../../core/id/endpoint.ts'
@@ -20,12 +20,12 @@
   readonly deadline: Instant
 }
 
-/** Between two questions: about the time in which a commit reaches a replica in another data centre. */
+/** Interval of polling the successor: about the time in which a commit reaches a replica in another data centre. */
 const POLL_INTERVAL_MS = 5
-/** An acknowledgement goes before all other work. */
+/** Rank of the status queries, before all other statements. */
 const HIGHEST_RANK = 0
 
-/** Resolves with false when that can't be told within the time; the commit then is in doubt. */
+/** Resolves with false if receipt can't be confirmed in time; the commit is then in doubt. */
 export async function isReceived (options: Options): Promise<boolean> {
   const { commit, deadline } = options
   while (left(deadline) > 0) {
--- a/src/shell/pool/statements/recordtry.ts
+++ b/src/shell/pool/statements/recordtry.ts
@@ -1,4 +1,4 @@
-/** Counts a try, and notes it for the line that explains its statement. */
+/** Counts a try and adds it to the trail of its statement. */
 
 import type { TryHistory } from '../../../core/pool/statements/tryhistory.ts'
 import type { Try } from '../../../core/pool/statements/try.ts'
--- a/src/shell/pool/statements/refusal.ts
+++ b/src/shell/pool/statements/refusal.ts
@@ -1,12 +1,12 @@
-/** A statement that wasn't done: why, and when a new try may do better. */
+/** Why a statement wasn't done, and when it may be retried. */
 
 import type { Cause } from '../../../core/pool/statements/cause.ts'
 import type { Fault } from '../../../core/statement/fault.ts'
 
 export interface Refusal {
   readonly fault: Fault
-  /** Milliseconds; 0 when nothing is known. */
+  /** Retry delay in milliseconds; 0 if unknown. */
   readonly retryAfterMs: number
-  /** What lies behind the fault, for operators; undefined where the fault says it all. */
+  /** The cause of the fault, for operators; undefined if the fault is specific enough. */
   readonly cause?: Cause | undefined
 }
--- a/src/shell/pool/statements/retrywaits.ts
+++ b/src/shell/pool/statements/retrywaits.ts
@@ -1,4 +1,4 @@
-/** What one operation waits for between its tries, as its group's patience has it. */
+/** Waits of one operation between its tries, as its group's retry policy decides. */
 
 import type { Cause } from '../../../core/pool/statements/cause.ts'
 import type { RetryPolicy } from '../../../core/pool/statements/retrypolicy.ts'
@@ -10,12 +10,12 @@
 import type { Operation } from './operation.ts'
 
 type WaitResult =
-  /** It goes on without having waited. */
+  /** Continue without a wait. */
   | 'go'
-  /** It looks again for an endpoint, `anew` also among those that refused it. */
+  /** Choose an endpoint again; with `anew`, also among those that were tried. */
   | 'again'
   | 'anew'
-  /** It's refused. */
+  /** Refuse the operation. */
   | { readonly cause: Cause, readonly retryAfterMs: number }
 
 type Pause = 'forRoom' | 'forReach' | 'forBudget'
@@ -31,23 +31,23 @@
     return new RetryWaits(group, tries, metrics)
   }
 
-  /** Whether nobody waits for the answer any more, so that nothing more is sent. */
+  /** Whether the caller no longer waits for the answer, so that nothing more is sent. */
   get isDropped (): boolean {
     return this.group.retryPolicy.isAbandoned(this.tries.gone.aborted)
   }
 
-  /** When what waits for a connection is to be given up; undefined where it isn't. */
+  /** Signal that cancels the wait for a connection; undefined where waits aren't cancelled. */
   get gone (): AbortSignal | undefined {
     return this.group.retryPolicy.isAbandoned(true) ? this.tries.gone : undefined
   }
 
-  /** To be called when the operation has its answer. */
+  /** Must be called when the operation has ended. */
   end (): void {
     this.leave?.()
     this.leave = undefined
   }
 
-  /** Until a primary is in reach, or it's known that it comes too late. */
+  /** Waits until a primary is reachable, or is known to come too late. */
   async forLeader (): Promise<WaitResult> {
     const { group, tries: { deadline, route }, looks } = this
     const { outage, serviceMs, connections, missingMs } = group
@@ -62,17 +62,17 @@
     return await this.take('forLeader', step, async ms => await outage.wait(ms, this.gone))
   }
 
-  /** Until an endpoint that had no room may have some. */
+  /** Waits until an endpoint that was full may have room. */
   async forRoom (): Promise<WaitResult> {
     return await this.pause('forRoom')
   }
 
-  /** Until a connection may be had, or it's known that the endpoint is out of reach. */
+  /** Waits until the endpoint may have a connection, or is known to be unreachable. */
   async forReach (): Promise<WaitResult> {
     return await this.pause('forReach')
   }
 
-  /** Until the host has a retry left for it. */
+  /** Waits until the host's retry budget allows another try. */
   async forBudget (mayRetry: () => boolean): Promise<WaitResult> {
     for (;;) {
       const way = await this.pause('forBudget')
--- a/src/shell/pool/statements/run.ts
+++ b/src/shell/pool/statements/run.ts
@@ -1,4 +1,4 @@
-/** How a statement went: the answer, and the connection that gave it, or why there is none. */
+/** The result of a statement: its answer with the connection that gave it, or a refusal. */
 
 import type { Answer } from '../../../core/statement/answer.ts'
 import type { Attempt } from '../connections/attempt.ts'
--- a/src/shell/pool/statements/session.ts
+++ b/src/shell/pool/statements/session.ts
@@ -1,4 +1,4 @@
-/** One caller's session: its values, its transaction, and the way of each statement to an endpoint. */
+/** One caller's session: its session values, its transaction, and the dispatch of its statements. */
 
 import { randomBytes } from 'node:crypto'
 import type { Cause } from '../../../core/pool/statements/cause.ts'
@@ -19,7 +19,7 @@
 
 interface Options {
   readonly database: string
-  /** Who signed in, as lines and records name it: never by its key. */
+  /** Name of the caller for log lines and audit records; never its key. */
   readonly caller: string
   /** Undefined for a caller without one. */
   readonly key: KeyDigest | undefined
@@ -27,7 +27,7 @@
   readonly mayForward: boolean
 }
 
-/** Sessions of a day on all hosts share no id but once in some thousand years. */
+/** Enough for ids to be unique among all hosts. */
 const ID_BYTES = 8
 
 export class Session {
@@ -38,7 +38,7 @@
   private idleTimer: NodeJS.Timeout | undefined
   private isRunning = false
   private afterRun: (() => void) | undefined
-  /** What was tried for the statement that runs. */
+  /** Tries of the current statement. */
   private trail = TryHistory.begin(clock.now())
   private retryAfterMs = 0
   private cause: Cause | undefined
@@ -49,7 +49,7 @@
     this.runner = StatementRunner.create(ctx, database, this.values, key, mayDetour, this.gone.signal)
   }
 
-  /** Undefined when there is no such database. */
+  /** Undefined if the database doesn't exist. */
   static create (ctx: PoolContext, options: Options): Session | undefined {
     return ctx.config().route(options.database) === undefined ? undefined : new Session(ctx, options)
   }
@@ -58,12 +58,12 @@
     return this.options.database
   }
 
-  /** As the caller sees it. */
+  /** State of the transaction as the caller sees it. */
   get transactionState (): 'none' | 'open' | 'failed' {
     return this.transaction === undefined ? 'none' : this.transaction.state === 'failed' ? 'failed' : 'open'
   }
 
-  /** One statement at a time; resolves always. */
+  /** Runs one statement; only one at a time. Never rejects. */
   async run (id: string, statement: Statement): Promise<Reply> {
     clearTimeout(this.idleTimer)
     const { transaction } = this
@@ -80,7 +80,7 @@
     return told
   }
 
-  /** Refuses what isn't a statement. */
+  /** Refuses input that isn't a statement. */
   reject (id: string): Reply {
     this.trail = TryHistory.begin(clock.now())
     const reply = this.failInside({ fault: 'malformed', retryAfterMs: 0 })
@@ -88,9 +88,8 @@
   }
 
   /**
-   * Rolls an open transaction back, and says so to its next statement. For a
-   * process that leaves and for a caller that left its transaction idle. A
-   * statement that runs ends first.
+   * Rolls an open transaction back and reports that to its next statement. Used when the process leaves and when a transaction
+   * stays idle. Waits for a running statement.
    */
   abort (): void {
     if (this.isRunning) {
@@ -102,7 +101,7 @@
     this.ctx.log.write('transactionAborted', { id: this.transaction.id, database: this.database })
   }
 
-  /** The caller is gone. What it hasn't asked to commit is rolled back, after the statement that runs; one that only waits may be given up. */
+  /** Ends the session after its caller left: rolls back an open transaction after the running statement, which may be cancelled while it waits. */
   end (): void {
     this.gone.abort()
     if (this.isRunning) {
@@ -131,7 +130,7 @@
     }
   }
 
-  /** Ending a failed transaction rolls it back; a commit must not look like one that was done. */
+  /** Ends a failed transaction with a rollback; a commit is refused, so that it doesn't look done. */
   private answerFailed (statement: Statement): Reply {
     if (statement.kind !== 'commit') return this.refuse({ fault: 'malformed', retryAfterMs: 0 })
     this.close()
@@ -184,7 +183,7 @@
     this.transaction = undefined
   }
 
-  /** Refuses a statement; inside of a transaction that fails as a whole, and a commit ends it. */
+  /** Refuses a statement. In a transaction this makes the whole transaction fail; a commit ends it. */
   private failInside (refused: Refusal, isCommit = false): Reply {
     if (isCommit) this.close()
     else this.transaction?.fail()
@@ -202,11 +201,11 @@
   private refuse ({ fault, retryAfterMs, cause }: Refusal): Reply {
     this.retryAfterMs = retryAfterMs
     this.cause = cause
-    // A session whose key was taken away has nothing more to do here.
+    // The session ends when its key was revoked.
     return { kind: 'refused', fault, message: remedyOf(fault, retryAfterMs), isFinal: fault === 'unauthorised' }
   }
 
-  /** The reply as the caller gets it: one that isn't "done" names its record. `transaction`: the one that was open before, which a commit has ended. */
+  /** Records the reply and adds the id of its audit record to a refusal. `transaction`: the one that was open before the statement. */
   private recordReply (id: string, kind: Statement['kind'] | 'none', reply: Reply, transaction = this.transaction): Reply {
     const { ctx, id: session, database, options: { caller }, trail, retryAfterMs, cause } = this
     const { newestCommit: own } = this.runner
@@ -215,7 +214,7 @@
     return { ...reply, message: `${reply.message} (request ${record})` }
   }
 
-  /** A transaction that nobody goes on with holds a connection that others wait for. */
+  /** Aborts the transaction after its idle timeout, since it holds a connection that others may wait for. */
   private watchIdle (): void {
     this.idleTimer = setTimeout(() => this.abort(), this.ctx.config().idleTransactionMs)
     this.idleTimer.unref()
--- a/src/shell/pool/statements/statementrunner.ts
+++ b/src/shell/pool/statements/statementrunner.ts
@@ -1,4 +1,4 @@
-/** Runs the statements of one session at endpoints, and knows the session's newest commit. */
+/** Runs the statements of one session at endpoints, and keeps the position of the session's newest commit. */
 
 import type { Instant } from '../../../core/id/instant.ts'
 import type { Ending } from '../../../core/pool/statements/ending.ts'
@@ -28,17 +28,20 @@
 
   private constructor (private readonly ctx: PoolContext, private readonly database: string, private readonly values: SessionState, private readonly key: KeyDigest | undefined, private readonly mayForward: boolean, private readonly gone: AbortSignal) {}
 
-  /** `values`: what the session has set and prepared, now and later. `key`: the caller's. `mayDetour`: whether other hosts may run its statements. `gone`: aborted once the caller has left. */
+  /**
+   * `values`: the session values, which may change later. `key`: the caller's key. `mayForward`: whether other hosts may run its
+   * statements. `gone`: aborted once the caller has left.
+   */
   static create (ctx: PoolContext, database: string, values: SessionState, key: KeyDigest | undefined, mayForward: boolean, gone: AbortSignal): StatementRunner {
     return new StatementRunner(ctx, database, values, key, mayForward, gone)
   }
 
-  /** The session's newest commit. */
+  /** Position of the session's newest commit. */
   get newestCommit (): Token {
     return this.newest
   }
 
-  /** A statement outside of any transaction. */
+  /** Runs a statement outside of a transaction. */
   async runSingle (work: EndpointStatement, route: Route, trail: TryHistory): Promise<Run> {
     const deadline = clock.now() + route.statementTimeoutMs as Instant
     const mustLead = work.what === 'write' || this.readsAtPrimary(route)
@@ -59,20 +62,20 @@
     return freshness.kind !== 'age' || this.isNewestCommitUnknown
   }
 
-  /** A statement of a transaction, on its connection or, as the first, on one that it brings. */
+  /** Runs a statement of a transaction on the transaction's connection; the first statement borrows the connection. */
   async runInTransaction (work: EndpointStatement, transaction: Transaction, trail: TryHistory): Promise<Run> {
     const { route, attempt } = transaction
     const deadline = clock.now() + route.statementTimeoutMs as Instant
     return attempt === undefined ? await this.runFirst(work, transaction, deadline, trail) : await this.runNext(work, transaction, attempt, deadline, trail)
   }
 
-  /** Takes in what a commit or a single write was answered. Without a position of its own commit a session can only read at the primary. */
+  /** Takes in the answer to a commit or a single write. Without a position, the session can only read at the primary from then on. */
   recordCommit ({ position }: Answer): void {
     if (position === undefined) this.isNewestCommitUnknown = true
     else this.newest = this.newest.max(position)
   }
 
-  /** A read that only the primary may serve runs inside of a transaction of our own, which an endpoint that doesn't lead any more refuses. */
+  /** A read that only the primary may serve runs in a transaction of the proxy's own, which an endpoint that is no longer the primary refuses. */
   private async runOn (attempt: Attempt, target: Target, work: EndpointStatement, deadline: Instant): Promise<Answer | Ending> {
     const prelude = work.setupCommands(attempt.link.values, this.values)
     const isRead = work.what === 'read'
@@ -85,8 +88,8 @@
   }
 
   /**
-   * The first statement brings the connection: until it ran, another endpoint may
-   * be tried. A commit of nothing proves no lead, since an endpoint that lost it takes that too.
+   * Runs the first statement of a transaction, for which other endpoints may be tried. An empty commit doesn't prove that the
+   * endpoint is the primary, since a former primary accepts it too.
    */
   private async runFirst (work: EndpointStatement, transaction: Transaction, deadline: Instant, trail: TryHistory): Promise<Run> {
     const { route, isReadOnly } = transaction
@@ -100,7 +103,7 @@
     return await tryAll(this.ctx, { ...this.common(route, work, deadline, trail), mustLead, isInTransaction: true, run })
   }
 
-  /** A statement never goes before the answer to its BEGIN: were that refused, it would run outside of any transaction. */
+  /** The statement is sent only after the answer to its BEGIN, since it would run outside of a transaction if that was refused. */
   private async beginOn (attempt: Attempt, target: Target, work: EndpointStatement, deadline: Instant): Promise<Answer | Ending> {
     const prelude = work.setupCommands(attempt.link.values, this.values)
     const { mustLead, after } = target
@@ -131,7 +134,7 @@
     return { fault: verdict.kind === 'refuse' ? verdict.fault : 'aborted', retryAfterMs: 0 }
   }
 
-  /** What was committed while its primary hands over is done once the successor has it; else nobody can tell whether it's kept. */
+  /** During a handover, a commit is acknowledged only once the successor has received it; otherwise its outcome is unknown. */
   private async kept (attempt: Attempt, answer: Answer | Ending, work: EndpointStatement, deadline: Instant, trail: TryHistory): Promise<Answer | Ending> {
     const successor = attempt.group.successorOf(attempt.endpoint)
     if (typeof answer === 'string' || successor === undefined) return answer
--- a/src/shell/pool/statements/target.ts
+++ b/src/shell/pool/statements/target.ts
@@ -1,4 +1,4 @@
-/** Picks the endpoint for the next try of an operation. */
+/** Chooses the endpoint for the next try of an operation. */
 
 import { setTimeout as pause } from 'node:timers/promises'
 import type { EndpointId } from '../../../core/id/endpoint.ts'
@@ -12,19 +12,19 @@
   /** True for writes, and for transactions that may write. */
   readonly mustLead: boolean
   readonly freshness: Freshness
-  /** The session's newest commit. */
+  /** Position of the session's newest commit. */
   readonly newestCommit: Token
-  /** Whose connections serve it; undefined where they serve anybody. */
+  /** The team whose connections serve it; undefined where connections serve anyone. */
   readonly team: TeamId | undefined
-  /** Whether another host may run it; not for one that came as a detour itself, so that none goes round in circles. */
+  /** Whether another host may run it; false for operations that were forwarded already, so that they don't loop. */
   readonly mayForward: boolean
-  /** Endpoints that refused this operation as replicas or were out of reach. */
+  /** Endpoints that were tried for this operation. */
   readonly tried: ReadonlySet<EndpointId>
-  /** Until its time is up, in milliseconds. */
+  /** Milliseconds until the operation's deadline. */
   readonly leftMs: number
 }
 
-/** Resolves with undefined when nothing can serve it now, for want of a primary in reach; after a wait only for a replica that will soon hold what the read needs. */
+/** Resolves with undefined if the primary is needed and unreachable. Waits only for a replica that will soon have the position that the read requires. */
 export async function nextTarget (group: PoolGroup, { mustLead, freshness, newestCommit: own, team, mayForward: mayDetour, tried, leftMs }: TargetOptions): Promise<Target | undefined> {
   if (!mustLead && freshness.kind === 'age') {
     const after = group.requiredPosition(own, freshness.ms)
@@ -34,8 +34,7 @@
       return { endpoint: placed.endpoint, after, mustLead: false }
     }
   }
-  // Against requests that are held for their whole time before they are refused: what would go to a primary that
-  // is out of reach is known not to be served until it's replaced.
+  // An unreachable primary isn't tried, since the request would time out there.
   if (group.isLeaderUnreachable()) return mayDetour ? forwardedTarget(group) : undefined
   return group.leader === undefined ? undefined : { endpoint: group.leader, after: undefined, mustLead: true }
 }
--- a/src/shell/pool/statements/transaction.ts
+++ b/src/shell/pool/statements/transaction.ts
@@ -1,11 +1,11 @@
-/** A caller's open transaction, and the connection that it holds from its first statement on. */
+/** A caller's open transaction, with the connection that it holds from its first statement on. */
 
 import type { Route } from '../../../core/pool/route.ts'
 import type { Attempt } from '../connections/attempt.ts'
 
 type State = 'open' | 'aborted' | 'failed'
 
-/** `aborted`: rolled back by this process, which its caller is still to be told. */
+/** `aborted`: rolled back by this process; the caller learns of it with its next statement. */
 export class Transaction {
   private held: Attempt | undefined
   private wasWritten = false
@@ -13,7 +13,7 @@
 
   private constructor (readonly id: string, readonly route: Route, readonly isReadOnly: boolean) {}
 
-  /** `route` stays the same until it ends, whatever the configuration becomes. */
+  /** `route` stays the same until the transaction ends, even if the configuration changes. */
   static create (id: string, route: Route, isReadOnly: boolean): Transaction {
     return new Transaction(id, route, isReadOnly)
   }
@@ -31,7 +31,7 @@
     return this.wasWritten
   }
 
-  /** Whether its endpoint refuses its statements once it doesn't lead any more. */
+  /** Whether it runs at the primary only, so that an endpoint that is no longer the primary refuses its statements. */
   get requiresLeader (): boolean {
     return !this.isReadOnly || this.route.freshness.kind !== 'age'
   }
@@ -51,7 +51,7 @@
     this.release()
   }
 
-  /** Gives the connection back, rolled back if need be. */
+  /** Returns the connection, after a rollback if needed. */
   release (): void {
     this.held?.release()
     this.held = undefined
--- a/src/shell/pool/statements/tryall.ts
+++ b/src/shell/pool/statements/tryall.ts
@@ -1,4 +1,4 @@
-/** Tries an operation at endpoint after endpoint until one does it, none is left, or it may have run. */
+/** Tries an operation at one endpoint after another, until it's done, it may have run, or no endpoint is left. */
 
 import type { EndpointId } from '../../../core/id/endpoint.ts'
 import type { Ending } from '../../../core/pool/statements/ending.ts'
@@ -22,18 +22,18 @@
 import type { Operation } from './operation.ts'
 import { RetryWaits } from './retrywaits.ts'
 
-/** A host in reach takes a session within milliseconds; against callers who wait for their whole time on one that died since. */
+/** Time limit for connecting to another host, so that a dead host doesn't use up the operation's time. */
 const FORWARD_DIAL_MS = 300
-/** An operation waits for a token of its team for this part of its aim: the rest is for its way and its place at the endpoint. */
+/** Part of the latency aim for which an operation waits for a token of its team. */
 const TOKEN_SHARE = 0.3
-/** It waits for this part of its time for issuers of tokens that don't answer, as they don't while all hosts start: late is better than never then. */
+/** Part of the remaining time for which an operation waits for token issuers that don't answer, as when all hosts start. */
 const SILENT_ISSUER_SHARE = 0.5
-/** An operation is best started within this part of its aim: the rest is for its work, and for its way to its caller. */
+/** Part of the latency aim within which an operation should start at the endpoint. */
 const START_SHARE = 0.7
-/** The time to come back while nobody leads: about a round of finding the new primary. */
+/** Retry delay while there is no primary: about the time to find a new one. */
 const LEADERLESS_RETRY_MS = 500
 
-/** Resolves always, within the operation's time. */
+/** Resolves before the operation's deadline; never rejects. */
 export async function tryAll (ctx: PoolContext, tries: Operation): Promise<Run> {
   const gate = Gate.open(ctx, tries.route, tries.key)
   if (!(gate instanceof Gate)) return gate
@@ -67,7 +67,7 @@
     tried.add(target.endpoint)
     const once = await tryOnce(ctx, group, target, tries, gate, waits)
     if (once.kind === 'done') return once.run
-    // Against "not run" said of a read that did: it failed at one endpoint, and the next one has no room.
+    // A read that failed at one endpoint stays `failed`, even if the next endpoint has no room.
     if (last.fault !== 'failed') last = once.refused
     if (last.cause === 'full') full.add(target.endpoint)
     if (once.kind === 'refused') return last
@@ -77,7 +77,7 @@
   return last
 }
 
-/** An endpoint that had no room is asked again only after a pause. */
+/** Waits for a primary if there is no target, or for room if the target was full. */
 async function waitForTarget (target: Target | undefined, full: ReadonlySet<EndpointId>, waits: RetryWaits): ReturnType<RetryWaits['forLeader']> {
   if (target === undefined) return await waits.forLeader()
   return full.has(target.endpoint) ? await waits.forRoom() : 'go'
@@ -90,14 +90,12 @@
 type AttemptResult =
   | { readonly kind: 'done', readonly run: Run }
   | { readonly kind: 'refused' | 'elsewhere', readonly refused: Refusal }
-  /** It may be tried again, once what it lacks is there. */
+  /** It may be tried again after waiting for the missing resource. */
   | { readonly kind: 'short', readonly of: 'forReach' | 'forBudget', readonly refused: Refusal }
 
 /**
- * Against reads that wait out their statement's time at an endpoint that went
- * silent, while others could serve them: once it's known to be out of reach the
- * connection is given up, and the read goes elsewhere. A single write waits on, since
- * only its answer can tell what became of it.
+ * Closes the connection of a read once its endpoint is known to be unreachable, so that another endpoint can serve it. A single
+ * write keeps waiting, since only its answer shows whether it ran.
  */
 async function tryOnce (ctx: PoolContext, group: PoolGroup, target: Target, tries: Operation, gate: Gate, waits: RetryWaits): Promise<AttemptResult> {
   const began = clock.now()
@@ -133,8 +131,8 @@
 }
 
 /**
- * What only the primary may do has nowhere else to go. Against refusals in the half second in which a primary is silent and not known to
- * be out of reach: admission finds that nothing moves, and takes it for a queue that is too long.
+ * An operation that needs the primary has no other endpoint. It waits while the primary is silent but not yet known to be
+ * unreachable, during which admission refuses because the queue doesn't move.
  */
 function resultWithoutConnection (group: PoolGroup, refused: Refusal, { endpoint, mustLead, via }: Target): AttemptResult {
   if (!mustLead) return { kind: 'elsewhere', refused }
@@ -146,7 +144,7 @@
   const verdict = verdictOf(ending, { what, isInTransaction: isInside, isFirst: true, hasWritten: false })
   if (verdict.kind === 'refuse') return { kind: 'refused', refused: { fault: verdict.fault, retryAfterMs: 0 } }
   const refused: Refusal = { fault: faultOf(ending), retryAfterMs: LEADERLESS_RETRY_MS, cause: ending === 'busy' ? 'full' : undefined }
-  // Being sent on by an endpoint that knows better costs no work there, so it takes nothing of the budget.
+  // A redirection costs the endpoint no work, so it isn't charged to the retry budget.
   const isFree = ending === 'behind' || ending === 'notPrimary'
   return isFree || ctx.retryBudget.tryTakeRetry(clock.now()) ? { kind: 'elsewhere', refused } : { kind: 'short', of: 'forBudget', refused }
 }
@@ -156,7 +154,7 @@
   return await gate.fetchToken(Math.min(route.aimMs * TOKEN_SHARE, leftMs), leftMs * SILENT_ISSUER_SHARE)
 }
 
-/** Endings that don't prove that the endpoint did nothing. */
+/** Endings after which the statement may have run. */
 const MAY_HAVE_RUN: ReadonlySet<Ending> = new Set<Ending>(['broken', 'outOfTime', 'failed', 'timeout', 'unknown'])
 
 const CAUSES: Readonly<Record<'busy' | 'unreachable', Cause>> = { busy: 'queue', unreachable: 'unreachable' }
@@ -175,7 +173,7 @@
   return dialled.isOk() ? Attempt.on(group, ForwardedSource.by(host), dialled.value) : { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS, cause: 'unreachable' }
 }
 
-/** How an ending that proves "not run" is told when no endpoint is left. */
+/** The fault for an operation that ended so and wasn't run, if no endpoint is left. */
 function faultOf (ending: Ending): Fault {
   return ending === 'broken' || ending === 'outOfTime' || ending === 'unknownStatement' ? 'aborted' : ending
 }
--- a/src/shell/pool/storecalls.ts
+++ b/src/shell/pool/storecalls.ts
@@ -1,4 +1,4 @@
-/** Tells the log what a process called of the store, by kind, so that the calls of a day add up from its logs alone. */
+/** Logs how many store calls of each kind this process made, so that a day's calls can be counted from the logs alone. */
 
 import type { Log } from '../log/log.ts'
 import type { PoolMetrics } from './metrics.ts'
@@ -8,12 +8,12 @@
   readonly metrics: PoolMetrics
 }
 
-/** A process that is killed leaves this much untold: as much as the records that it loses. */
+/** A process that is killed loses the counts of this interval, as it loses its last audit records. */
 const LOG_INTERVAL_MS = 10_000
 
 /**
- * Each line holds all calls since the start, so that a lost line loses none. Kinds are the labels of the counter, which
- * come from closed lists; a process without calls since its last line writes none.
+ * Each line holds the totals since the start of the process, so that a lost line loses no counts. Kinds are the label
+ * values of the counter. Nothing is logged while the totals don't change.
  */
 export class StoreCalls {
   private readonly startedAt = Date.now()
@@ -29,7 +29,7 @@
     return it
   }
 
-  /** The last line of the process. */
+  /** Logs the final totals when the process ends. */
   async logLast (): Promise<void> {
     this.write(await this.read(), true)
   }
@@ -44,7 +44,7 @@
     this.options.log.write('storeCalls', { startedAt: this.startedAt, isLast, calls })
   }
 
-  /** Such as `changes config reader 12, write roll roll 3`. */
+  /** Totals by kind, such as `changes config reader 12, write roll roll 3`. */
   private async read (): Promise<string> {
     const { values } = await this.options.metrics.storeCalls.get()
     return values.map(({ labels: { call, table, why }, value }) => `${call} ${table} ${why} ${value}`).sort().join(', ')
