--- a/src/shell/pool/waiters.ts
+++ b/src/shell/pool/waiters.ts
@@ -1,4 +1,4 @@
-/** Those who wait for something to happen, each for a time of its own. */
+/** Wakes all who wait for an event; each wait has its own timeout. */
 
 export class Waiters {
   private readonly waiting = new Set<() => void>()
@@ -9,7 +9,7 @@
     return new Waiters()
   }
 
-  /** Resolves when it has happened, or after the milliseconds, or when whoever waits is gone. */
+  /** Resolves on `wake`, after `ms`, or when `gone` is aborted. */
   async wait (ms: number, gone?: AbortSignal): Promise<void> {
     if (gone?.aborted === true) return
     await new Promise<void>(resolve => {
@@ -26,7 +26,7 @@
     })
   }
 
-  /** It has happened. */
+  /** Ends the wait of all. */
   wake (): void {
     for (const done of [...this.waiting]) done()
   }
--- a/src/shell/pool/watchers.ts
+++ b/src/shell/pool/watchers.ts
@@ -1,4 +1,4 @@
-/** Who is to be told when an endpoint turns out to be out of reach. */
+/** Listeners for endpoints that become unreachable. */
 
 import type { EndpointId } from '../../core/id/endpoint.ts'
 
@@ -11,7 +11,7 @@
     return new Watchers()
   }
 
-  /** `onOut` is called when it turns out, until the returned function is. */
+  /** Calls the listener when the endpoint becomes unreachable. Returns a function that removes the listener. */
   watch (id: EndpointId, onOut: () => void): () => void {
     const watchers = this.watching.get(id) ?? new Set()
     this.watching.set(id, watchers.add(onOut))
