--- a/src/shell/pool/allowance/allowances.ts
+++ b/src/shell/pool/allowance/allowances.ts
@@ -79,17 +79,17 @@
 
 export class Allowances {
   private issuers: IssuerTable | undefined
-  private mandate: IssuerLease
+  private issuerLease: IssuerLease
   /** Whether `onStarted` was called. */
   private hasStarted = false
   private readonly issuer = TokenIssuer.create()
-  private readonly silence = IssuerBackOff.create()
+  private readonly backOff = IssuerBackOff.create()
   private readonly accounts = new Map<TeamId, Account>()
   private readonly shards = new WeakMap<Rate, Shard>()
 
   private constructor (private readonly options: Options) {
     const { self, trustMs, isFirstStart, bornAt, port } = options
-    this.mandate = IssuerLease.none({ self, leaseMs: trustMs, isFirstStart, processStartedAt: bornAt })
+    this.issuerLease = IssuerLease.none({ self, leaseMs: trustMs, isFirstStart, processStartedAt: bornAt })
     port.onRequest((team, place, count) => this.issue(team, place, count))
   }
 
@@ -102,9 +102,9 @@
     const issuers = IssuerTable.decode(text)
     if (issuers === undefined) return
     this.issuers = issuers
-    this.mandate = this.mandate.withTable(issuers, this.options.now())
+    this.issuerLease = this.issuerLease.withTable(issuers, this.options.now())
     for (const [id, { tokens }] of this.accounts) tokens.setPlaces(this.placesOf(this.options.team(id)))
-    const begun = this.hasStarted ? [] : this.mandate.restartedPlaces()
+    const begun = this.hasStarted ? [] : this.issuerLease.restartedPlaces()
     if (begun.length === 0) return
     this.hasStarted = true
     this.options.onStarted(begun)
@@ -113,7 +113,7 @@
   /** Gives the buckets of a place their initial credit, once the store confirmed that they had none in this window. */
   credit (place: number): void {
     const now = this.options.now()
-    const since = this.mandate.issuesSince(place, 0, now)
+    const since = this.issuerLease.issuesSince(place, 0, now)
     if (since !== undefined) this.issuer.credit(place, since, now)
   }
 
@@ -151,7 +151,7 @@
     // Another rate may have another number of shards.
     if (known !== undefined && known.rate !== team.rate) known.tokens.setPlaces(this.placesOf(team))
     if (known !== undefined) return Object.assign(known, { rate: team.rate })
-    const account: Account = { rate: team.rate, tokens: TeamTokens.of(this.placesOf(team), this.silence, this.options.chance(), this.options.age()), waiting: [], isAsking: false, freeAt: -Infinity as Instant, isSilent: false }
+    const account: Account = { rate: team.rate, tokens: TeamTokens.of(this.placesOf(team), this.backOff, this.options.chance(), this.options.age()), waiting: [], isAsking: false, freeAt: -Infinity as Instant, isSilent: false }
     this.accounts.set(id, account)
     return account
   }
@@ -197,14 +197,14 @@
 
   /** Requests tokens at a place; resolves with whether it answered. */
   private async askAt (place: number, count: number, team: Team, { tokens }: Account, lifetimeMs: number): Promise<boolean> {
-    const { hosts, port, metrics, onAskEnded: onAsked } = this.options
+    const { hosts, port, metrics, onAskEnded } = this.options
     const askedAt = this.options.age()
     const host = hosts().find(({ id }) => id === this.issuers?.hostAt(place))
     const answer = host === undefined ? undefined : await port.ask(host, { team: team.id, place, count }, ANSWER_MS)
     metrics.tokenAsks.inc({ outcome: answer === undefined ? 'silent' : answer.count > 0 ? 'issued' : 'none' })
-    onAsked(place, answer !== undefined)
-    if (answer !== undefined) this.silence.answered(place)
-    if (answer === undefined) this.silence.recordTimeout(place, this.options.age())
+    onAskEnded(place, answer !== undefined)
+    if (answer !== undefined) this.backOff.answered(place)
+    if (answer === undefined) this.backOff.recordTimeout(place, this.options.age())
     else tokens.answered(place, { ...answer, askedAt, lifetimeMs }, this.options.age())
     return answer !== undefined
   }
@@ -246,7 +246,7 @@
   /** Answers a token request of another host; undefined if this host must not issue at the place. */
   private issue (id: TeamId, place: number, count: number): { readonly count: number, readonly nextMs: number } | undefined {
     const now = this.options.now()
-    const since = this.mandate.issuesSince(place, this.options.ageMs(), now)
+    const since = this.issuerLease.issuesSince(place, this.options.ageMs(), now)
     const team = this.options.team(id)
     if (since === undefined || team?.rate === undefined) return undefined
     // A host with another version of the configuration may ask at the wrong place. It gets an answer, so that it doesn't count this host as silent.
--- a/src/shell/pool/allowance/issuerstarts.ts
+++ b/src/shell/pool/allowance/issuerstarts.ts
@@ -40,15 +40,15 @@
     const read = await store.read(table, signal)
     if (read.isErr()) return []
     const { rows, storeMs } = read.value
-    const free = places.flatMap(place => {
+    const claimable = places.flatMap(place => {
       const row = rows.find(({ key }) => key === String(place))
       const last = shape.safeParse(readJson(row?.value ?? ''))
       const isFree = row?.value === undefined || (last.success && storeMs - last.data.atMs > windowMs + MAX_CLAIM_MS)
       return isFree ? [{ place, version: row?.value === undefined ? 0 : row.version }] : []
     })
-    if (free.length === 0) return []
+    if (claimable.length === 0) return []
     metrics.storeCalls.inc({ call: 'write', table: 'shared', why: 'issuers' })
-    const written = await store.change(free.map(({ place, version }) => ({ table, key: String(place), value: JSON.stringify({ atMs: storeMs }), expected: version })), signal)
-    return written.isOk() && clock.now() - began < MAX_CLAIM_MS ? free.map(({ place }) => place) : []
+    const written = await store.change(claimable.map(({ place, version }) => ({ table, key: String(place), value: JSON.stringify({ atMs: storeMs }), expected: version })), signal)
+    return written.isOk() && clock.now() - began < MAX_CLAIM_MS ? claimable.map(({ place }) => place) : []
   }
 }
--- a/src/shell/pool/allowance/tokenport.ts
+++ b/src/shell/pool/allowance/tokenport.ts
@@ -11,7 +11,7 @@
 type TokenGrant = NonNullable<Awaited<ReturnType<TokenTransport['ask']>>>
 type RequestHandler = Parameters<TokenTransport['onRequest']>[0]
 
-const questionShape = z.object({ ask: z.int(), team: z.string(), place: z.int().nonnegative(), count: z.int().positive() })
+const requestShape = z.object({ ask: z.int(), team: z.string(), place: z.int().nonnegative(), count: z.int().positive() })
 const answerShape = z.object({ answer: z.int(), count: z.int().nonnegative(), nextMs: z.number() })
 /** Stands for infinity, which JSON can't express. */
 const NEVER_MS = 1e9
@@ -21,7 +21,7 @@
  * recognised by its number and ignored.
  */
 export class TokenPort implements TokenTransport {
-  private readonly open = new Map<number, (answer: TokenGrant | undefined) => void>()
+  private readonly pending = new Map<number, (answer: TokenGrant | undefined) => void>()
   private handler: RequestHandler = () => undefined
   private number = 0
 
@@ -37,8 +37,8 @@
     return new TokenPort(socket, log)
   }
 
-  onRequest (answerer: RequestHandler): void {
-    this.handler = answerer
+  onRequest (handler: RequestHandler): void {
+    this.handler = handler
   }
 
   async ask ({ address }: PoolHost, { team, place, count }: Parameters<TokenTransport['ask']>[1], timeoutMs: number): Promise<TokenGrant | undefined> {
@@ -46,11 +46,11 @@
     return await new Promise(resolve => {
       const end = (answer: TokenGrant | undefined) => {
         clearTimeout(timer)
-        this.open.delete(ask)
+        this.pending.delete(ask)
         resolve(answer)
       }
       const timer = setTimeout(() => end(undefined), timeoutMs)
-      this.open.set(ask, end)
+      this.pending.set(ask, end)
       this.send({ ask, team, place, count }, address)
     })
   }
@@ -58,10 +58,10 @@
   private received (message: Buffer, from: { readonly address: string, readonly port: number }): void {
     const json = readJson(message.toString('utf8'))
     const answer = answerShape.safeParse(json)
-    if (answer.success) return this.open.get(answer.data.answer)?.(answer.data)
-    const question = questionShape.safeParse(json)
-    if (!question.success) return
-    const { ask, team, place, count } = question.data
+    if (answer.success) return this.pending.get(answer.data.answer)?.(answer.data)
+    const request = requestShape.safeParse(json)
+    if (!request.success) return
+    const { ask, team, place, count } = request.data
     const issued = this.handler(team as TeamId, place, count)
     if (issued !== undefined) this.send({ answer: ask, count: issued.count, nextMs: Math.min(NEVER_MS, issued.nextMs) }, { ip: from.address, port: from.port })
   }
--- a/src/shell/pool/allowance/tokentransport.ts
+++ b/src/shell/pool/allowance/tokentransport.ts
@@ -17,7 +17,7 @@
 
 export interface TokenTransport {
   /** Sets the handler for requests of other hosts. No answer is sent if it returns undefined. */
-  onRequest (answerer: (team: TeamId, place: number, count: number) => TokenGrant | undefined): void
+  onRequest (handler: (team: TeamId, place: number, count: number) => TokenGrant | undefined): void
   /** Resolves with the answer, or with undefined if none came within `timeoutMs`. */
-  ask (host: PoolHost, asked: TokenRequest, timeoutMs: number): Promise<TokenGrant | undefined>
+  ask (host: PoolHost, request: TokenRequest, timeoutMs: number): Promise<TokenGrant | undefined>
 }
--- a/src/shell/pool/connections/attempt.ts
+++ b/src/shell/pool/connections/attempt.ts
@@ -16,8 +16,8 @@
   private constructor (readonly group: PoolGroup, readonly source: ConnectionSource, readonly link: EndpointLink, private readonly gate: Gate | undefined) {}
 
   /** `gate`: checks callers' statements; undefined if another host checks them, and for this process's own statements. */
-  static on (group: PoolGroup, loans: ConnectionSource, link: EndpointLink, gate?: Gate): Attempt {
-    return new Attempt(group, loans, link, gate)
+  static on (group: PoolGroup, source: ConnectionSource, link: EndpointLink, gate?: Gate): Attempt {
+    return new Attempt(group, source, link, gate)
   }
 
   get endpoint (): EndpointId {
@@ -75,9 +75,9 @@
 
   /** Returns the connection to its source, after rolling back an open transaction. */
   release (): void {
-    const { link, source: loans } = this
-    if (!link.isOpen || !link.isInTransaction) return loans.returnLink(link)
-    link.ask([{ kind: 'rollback' }], ROLLBACK_MS).then(() => loans.returnLink(link))
+    const { link, source } = this
+    if (!link.isOpen || !link.isInTransaction) return source.returnLink(link)
+    link.ask([{ kind: 'rollback' }], ROLLBACK_MS).then(() => source.returnLink(link))
   }
 
   /** Closes the connection after a failed prelude: its session values are unknown, and the statement may have run with wrong ones. */
--- a/src/shell/pool/connections/borrowrequest.ts
+++ b/src/shell/pool/connections/borrowrequest.ts
@@ -6,7 +6,7 @@
 import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { EndpointLink } from './link.ts'
 
-interface Wish {
+interface BorrowOptions {
   readonly rank: number
   /** The unit of fair sharing. */
   readonly caller: string
@@ -30,7 +30,7 @@
 
 export interface BorrowRequest {
   readonly id: number
-  readonly wish: Wish
+  readonly wish: BorrowOptions
   readonly deadline: Instant
   readonly answer: (lent: Result<EndpointLink, Refusal>) => void
 }
--- a/src/shell/pool/connections/connectionpool.test.ts
+++ b/src/shell/pool/connections/connectionpool.test.ts
@@ -59,16 +59,16 @@
 /** A connection pool of a given size, with the connections that it opened. */
 class Bench {
   readonly links: FakeLink[] = []
-  readonly lender: ConnectionPool
+  readonly pool: ConnectionPool
   dialMs = 0
   /** Number of calls to `recordNoAnswer`. */
   missed = 0
 
-  constructor (connections: number, hasRoom = true, endpoint = ENDPOINT) {
-    this.lender = ConnectionPool.create({
+  constructor (connections: number, hasSpareConnections = true, endpoint = ENDPOINT) {
+    this.pool = ConnectionPool.create({
       endpoint,
-      share: { connections, isOwner: true, otherOwners: [], hasRoom },
-      thrift: ConnectionScarcity.none,
+      share: { connections, isOwner: true, otherOwners: [], hasSpareConnections },
+      scarcity: ConnectionScarcity.none,
       chance: () => 0,
       onDialEnded: () => {},
       count: (count, queued) => Places.create({ endpoint: endpoint.id, places: count, queued, others: IDLE, answers: () => ResponseStats.create(), log: Log.silent, metrics: PoolMetrics.create(), chance: () => 0 }),
@@ -85,15 +85,15 @@
   }
 
   async borrow (team: string, isTransaction = false): Promise<FakeLink> {
-    const lent = await this.lender.borrow({ rank: 1, caller: team, team: team as TeamId, leftMs: 1000, isTransaction, values: SessionState.empty() })
-    return lent._unsafeUnwrap() as FakeLink
+    const borrowed = await this.pool.borrow({ rank: 1, caller: team, team: team as TeamId, leftMs: 1000, isTransaction, values: SessionState.empty() })
+    return borrowed._unsafeUnwrap() as FakeLink
   }
 
   /** Sends a read; `ending` is set once it has ended. */
   read (link: FakeLink, timeoutMs = 500): { ending: unknown } {
-    const group = { asked: () => {}, answered: () => {}, missed: () => { this.missed++ }, reads: { sent: () => undefined } } as unknown as PoolGroup
+    const group = { recordRequest: () => {}, answered: () => {}, recordNoAnswer: () => { this.missed++ }, readRouter: { sent: () => undefined } } as unknown as PoolGroup
     const result: { ending: unknown } = { ending: 'open' }
-    Attempt.on(group, this.lender, link).ask([READ], 0, timeoutMs, false).then(ending => { result.ending = ending === DONE ? 'done' : ending })
+    Attempt.on(group, this.pool, link).ask([READ], 0, timeoutMs, false).then(ending => { result.ending = ending === DONE ? 'done' : ending })
     return result
   }
 
@@ -124,11 +124,11 @@
     expect([first.result.ending, third!.link.sent]).toEqual(['done', 1])
   })
 
-  it.each([['owners aren\'t assigned', false, ENDPOINT], ['the endpoint doesn\'t report its places', true, { ...ENDPOINT, places: undefined }]])('needs no place where %s', async (_name, hasRoom, endpoint) => {
-    const bench = new Bench(5, hasRoom, endpoint)
+  it.each([['owners aren\'t assigned', false, ENDPOINT], ['the endpoint doesn\'t report its places', true, { ...ENDPOINT, places: undefined }]])('needs no place where %s', async (_name, hasSpareConnections, endpoint) => {
+    const bench = new Bench(5, hasSpareConnections, endpoint)
     const reads = await bench.reads(4)
     expect(reads.map(({ link }) => link.sent)).toEqual([1, 1, 1, 1])
-    expect(bench.lender.load).toBeUndefined()
+    expect(bench.pool.load).toBeUndefined()
   })
 
   it('counts as not run if it gets no place in time', async () => {
@@ -137,7 +137,7 @@
     const [first, , third] = await bench.reads(3)
     await vi.advanceTimersByTimeAsync(500)
     expect([first!.result.ending, third!.result.ending, third!.link.sent]).toEqual(['outOfTime', 'busy', 0])
-    expect(bench.lender.load).toMatchObject({ atWork: 0, waiting: 0 })
+    expect(bench.pool.load).toMatchObject({ atWork: 0, waiting: 0 })
   })
 
   it('counts as not run if its connection breaks while it waits for a place', async () => {
@@ -147,7 +147,7 @@
     third!.link.close()
     await vi.advanceTimersByTimeAsync(0)
     expect([third!.result.ending, third!.link.sent, bench.missed]).toEqual(['busy', 0, 1])
-    expect(bench.lender.load).toMatchObject({ atWork: 2, waiting: 0 })
+    expect(bench.pool.load).toMatchObject({ atWork: 2, waiting: 0 })
   })
 
   it('counts as not run and returns its place if its connection was broken before', async () => {
@@ -156,12 +156,12 @@
     link.close()
     const result = bench.read(link)
     await vi.advanceTimersByTimeAsync(0)
-    expect([result.ending, bench.missed, bench.lender.load?.atWork]).toEqual(['busy', 1, 0])
+    expect([result.ending, bench.missed, bench.pool.load?.atWork]).toEqual(['busy', 1, 0])
   })
 
   it.each<[string, (bench: Bench) => void]>([
-    ['is unreachable', ({ lender }) => lender.refuseWaiting()],
-    ['was replaced', ({ lender }) => lender.close()]
+    ['is unreachable', ({ pool }) => pool.refuseWaiting()],
+    ['was replaced', ({ pool }) => pool.close()]
   ])('stops waiting for a place if the endpoint %s', async (_name, happen) => {
     const bench = new Bench(4)
     const [, , third] = await bench.reads(3)
@@ -177,7 +177,7 @@
     third!.link.isInTransaction = true
     await vi.advanceTimersByTimeAsync(500)
     expect(third!.result.ending).toBe('busy')
-    Attempt.on({} as PoolGroup, bench.lender, third!.link).release()
+    Attempt.on({} as PoolGroup, bench.pool, third!.link).release()
     expect([third!.link.sent, third!.link.isOpen]).toEqual([1, true])
     third!.link.answer([DONE])
     await vi.advanceTimersByTimeAsync(0)
@@ -189,8 +189,8 @@
     const bench = new Bench(5)
     const reads = await bench.reads(4)
     expect(reads.map(({ link }) => link.sent)).toEqual([1, 1, 0, 0])
-    bench.lender.resize({ connections: 5, isOwner: true, otherOwners: [], hasRoom: true }, 4)
-    expect(bench.lender.load).toMatchObject({ atWork: 4, waiting: 0 })
+    bench.pool.resize({ connections: 5, isOwner: true, otherOwners: [], hasSpareConnections: true }, 4)
+    expect(bench.pool.load).toMatchObject({ atWork: 4, waiting: 0 })
   })
 })
 
@@ -199,10 +199,10 @@
     // Otherwise teams that share few connections close each other's, and openings cost the endpoint more than statements.
     const bench = new Bench(2)
     const red = await settled(bench.borrow('red'))
-    bench.lender.returnLink(await settled(bench.borrow('blue')))
+    bench.pool.returnLink(await settled(bench.borrow('blue')))
     const second = bench.borrow('red')
     await vi.advanceTimersByTimeAsync(3)
-    bench.lender.returnLink(red)
+    bench.pool.returnLink(red)
     expect(await settled(second)).toBe(red)
     expect(bench.links).toHaveLength(2)
   })
@@ -210,9 +210,9 @@
   it('the connection of the team with the least use is closed', async () => {
     // The least recently used connection may belong to a busy team.
     const bench = new Bench(3)
-    for (let i = 0; i < 5; i++) bench.lender.returnLink(await settled(bench.borrow('busy')))
-    bench.lender.returnLink(await settled(bench.borrow('rare')))
-    bench.lender.returnLink(await settled(bench.borrow('other')))
+    for (let i = 0; i < 5; i++) bench.pool.returnLink(await settled(bench.borrow('busy')))
+    bench.pool.returnLink(await settled(bench.borrow('rare')))
+    bench.pool.returnLink(await settled(bench.borrow('other')))
     await settled(bench.borrow('new'))
     expect(bench.links.filter(({ isOpen }) => !isOpen).map(({ team }) => team)).toEqual(['rare'])
   })
@@ -226,7 +226,7 @@
     await vi.advanceTimersByTimeAsync(0)
     bench.read(there)
     await vi.advanceTimersByTimeAsync(0)
-    expect([there.sent, bench.lender.load?.atWork]).toEqual([1, 2])
+    expect([there.sent, bench.pool.load?.atWork]).toEqual([1, 2])
     await vi.advanceTimersByTimeAsync(300)
     expect(await Promise.all(waiting)).toHaveLength(3)
   })
--- a/src/shell/pool/connections/connectionpool.ts
+++ b/src/shell/pool/connections/connectionpool.ts
@@ -29,7 +29,7 @@
 
 type BorrowResult = Parameters<BorrowRequest['answer']>[0]
 
-interface Loan {
+interface Borrowing {
   readonly id: number
   readonly wish: BorrowRequest['wish']
   /** Latest start at which the operation meets its latency aim; undefined where aims aren't considered. */
@@ -46,7 +46,7 @@
   readonly count: (places: number, queued: () => number) => Places
   readonly chance: () => number
   /** Initial state of how scarce connections are. */
-  readonly thrift: ConnectionScarcity
+  readonly scarcity: ConnectionScarcity
   /** Called with the outcome of each try to open a connection. */
   readonly onDialEnded: (outcome: 'opened' | DialFault) => void
 }
@@ -59,27 +59,27 @@
 export class ConnectionPool implements ConnectionSource {
   private readonly admission: Admission
   private readonly idle = IdleLinks.create()
-  private readonly loans = new Map<EndpointLink, Loan>()
+  private readonly borrowings = new Map<EndpointLink, Borrowing>()
   private readonly waiting = new Map<number, BorrowRequest>()
   private nextId = 1
   /** Idle connections that are closed unless they are borrowed before. */
-  private readonly idleTimeouts = IdleTimeouts.create(link => this.drop(link))
+  private readonly idleTimeouts = IdleTimeouts.create(link => this.closeIdleLink(link))
   private readonly ticker = Ticker.create(TICK_MS, () => this.step({ kind: 'tick' }))
   private isClosed = false
   private limit: number
-  private thrift: ConnectionScarcity
+  private scarcity: ConnectionScarcity
   /** Undefined where owners aren't assigned, or the endpoint doesn't report its places. */
   private places: Places | undefined
   private readonly openings = OpeningQueue.create<BorrowRequest>()
   private readonly dialer: EndpointDialer
 
   private constructor (private readonly options: Options) {
-    const { share: { connections, hasRoom }, endpoint, dialer, onDialEnded: onDialled } = options
-    this.dialer = EndpointDialer.create({ endpoint, dialer, onDialEnded: onDialled, onOpened: (link, team) => this.idle.assign(link, team), onEnded: link => this.handleEnd(link) })
+    const { share: { connections, hasSpareConnections }, endpoint, dialer, onDialEnded } = options
+    this.dialer = EndpointDialer.create({ endpoint, dialer, onDialEnded, onOpened: (link, team) => this.idle.assign(link, team), onEnded: link => this.handleEnd(link) })
     this.limit = connections
-    this.thrift = options.thrift
+    this.scarcity = options.scarcity
     this.admission = Admission.create(limitsOf(connections))
-    this.countPlaces(hasRoom ? endpoint.places : undefined)
+    this.countPlaces(hasSpareConnections ? endpoint.places : undefined)
   }
 
   static create (options: Options): ConnectionPool {
@@ -113,61 +113,61 @@
   }
 
   requestPlace (link: EndpointLink, leftMs: number): PlaceTicket | undefined {
-    const loan = this.loans.get(link)
-    if (loan === undefined || this.places === undefined) return undefined
-    const { wish: { rank, caller, isTransaction }, aim } = loan
-    const what = isTransaction && loan.ticket !== undefined ? 'next' : 'first'
-    loan.ticket = this.places.requestPlace({ rank, caller, what, leftMs, aim })
-    return loan.ticket
+    const borrowing = this.borrowings.get(link)
+    if (borrowing === undefined || this.places === undefined) return undefined
+    const { wish: { rank, caller, isTransaction }, aim } = borrowing
+    const what = isTransaction && borrowing.ticket !== undefined ? 'next' : 'first'
+    borrowing.ticket = this.places.requestPlace({ rank, caller, what, leftMs, aim })
+    return borrowing.ticket
   }
 
   /** Changes this host's share of the endpoint's connections. `places`: as the endpoint reports. */
-  resize ({ connections, hasRoom }: EndpointShare, places: number | undefined): void {
-    this.countPlaces(hasRoom ? places : undefined)
+  resize ({ connections, hasSpareConnections }: EndpointShare, places: number | undefined): void {
+    this.countPlaces(hasSpareConnections ? places : undefined)
     if (connections === this.limit) return
     this.limit = connections
     this.admission.resize(limitsOf(connections))
-    while (this.admission.openConnections > connections && this.idle.size > 0) this.drop(this.idle.all[0]!)
+    while (this.admission.openConnections > connections && this.idle.size > 0) this.closeIdleLink(this.idle.all[0]!)
   }
 
   /** Resolves with a connection for exclusive use until it's returned, or with why there is none; never rejects. */
   async borrow (wish: BorrowRequest['wish']): Promise<BorrowResult> {
     if (this.isClosed) return err({ reason: 'unreachable', retryAfterMs: 0 })
-    const giveUp = () => this.giveUp(wish)
-    wish.gone?.addEventListener('abort', giveUp)
+    const cancel = () => this.cancel(wish)
+    wish.gone?.addEventListener('abort', cancel)
     const borrowed = await new Promise<BorrowResult>(resolve => this.enqueue({ id: this.nextId++, wish, deadline: clock.now() + wish.leftMs as Instant, answer: resolve }))
-    wish.gone?.removeEventListener('abort', giveUp)
+    wish.gone?.removeEventListener('abort', cancel)
     return borrowed
   }
 
   returnLink (link: EndpointLink): void {
-    const loan = this.loans.get(link)
-    if (loan === undefined) return
-    const { id, wish: { team } } = loan
-    this.loans.delete(link)
+    const borrowing = this.borrowings.get(link)
+    if (borrowing === undefined) return
+    const { id, wish: { team } } = borrowing
+    this.borrowings.delete(link)
     const isUsable = link.isOpen && !link.isInTransaction && !this.isClosed && this.admission.openConnections <= this.limit
     const next = isUsable ? this.openings.next(team) : undefined
-    if (next !== undefined) this.lend(link, next)
+    if (next !== undefined) this.handOut(link, next)
     else if (isUsable) this.idle.add(link)
     else link.close()
     this.step({ kind: 'finished', id, isUsable })
-    if (this.idle.has(link)) this.idleTimeouts.rest(link, this.thrift.idleTimeoutMs(clock.now()))
+    if (this.idle.has(link)) this.idleTimeouts.rest(link, this.scarcity.idleTimeoutMs(clock.now()))
   }
 
   /** Closes the idle connections. After one timed out, the others may be dead as well without a reset, and would each cost an operation its time. */
   closeIdle (): void {
-    for (const link of this.idle.all) this.drop(link)
+    for (const link of this.idle.all) this.closeIdleLink(link)
   }
 
   /** Refuses all waiting operations, because the endpoint is unreachable. */
   refuseWaiting (): void {
-    for (const [id, waiter] of [...this.waiting]) {
+    for (const [id, request] of [...this.waiting]) {
       this.waiting.delete(id)
       this.step({ kind: 'cancelled', id })
-      waiter.answer(err({ reason: 'unreachable', retryAfterMs: UNREACHABLE_RETRY_MS }))
+      request.answer(err({ reason: 'unreachable', retryAfterMs: UNREACHABLE_RETRY_MS }))
     }
     this.places?.refuseWaiting()
-    this.refuseParked(UNREACHABLE_RETRY_MS)
+    this.refuseTeamWaiters(UNREACHABLE_RETRY_MS)
   }
 
   close (): void {
@@ -175,18 +175,18 @@
     this.dialer.close()
     this.ticker.stop()
     this.places?.close()
-    this.refuseParked(0)
+    this.refuseTeamWaiters(0)
     this.closeIdle()
-    for (const [id, waiter] of this.waiting) {
+    for (const [id, request] of this.waiting) {
       this.waiting.delete(id)
-      waiter.answer(err({ reason: 'unreachable', retryAfterMs: 0 }))
+      request.answer(err({ reason: 'unreachable', retryAfterMs: 0 }))
     }
   }
 
-  private enqueue (waiter: BorrowRequest): void {
-    const { id, wish: { rank, caller, isTransaction }, deadline } = waiter
-    this.waiting.set(id, waiter)
-    this.step({ kind: 'arrived', request: { id, rank, caller: caller as CallerId, deadline, aim: this.aimOf(waiter), isTransaction } })
+  private enqueue (request: BorrowRequest): void {
+    const { id, wish: { rank, caller, isTransaction }, deadline } = request
+    this.waiting.set(id, request)
+    this.step({ kind: 'arrived', request: { id, rank, caller: caller as CallerId, deadline, aim: this.aimOf(request), isTransaction } })
   }
 
   /** Latency aims are considered only where this host counts places; elsewhere operations are served in order of arrival. */
@@ -195,12 +195,12 @@
   }
 
   /** Removes an operation from the queue that its caller no longer waits for. */
-  private giveUp (wish: BorrowRequest['wish']): void {
-    const [id, waiter] = [...this.waiting].find(([, one]) => one.wish === wish) ?? []
-    if (id === undefined || waiter === undefined) return
+  private cancel (wish: BorrowRequest['wish']): void {
+    const [id, request] = [...this.waiting].find(([, one]) => one.wish === wish) ?? []
+    if (id === undefined || request === undefined) return
     this.waiting.delete(id)
     this.step({ kind: 'cancelled', id })
-    waiter.answer(err({ reason: 'busy', retryAfterMs: 0 }))
+    request.answer(err({ reason: 'busy', retryAfterMs: 0 }))
   }
 
   private step (event: AdmissionEvent): void {
@@ -212,23 +212,23 @@
 
   private act (action: AdmissionAction): void {
     if (action.kind === 'open') return this.open()
-    const waiter = this.waiting.get(action.id)
+    const request = this.waiting.get(action.id)
     this.waiting.delete(action.id)
     if (action.kind === 'refuse') {
-      waiter?.answer(err({ reason: action.reason, retryAfterMs: action.retryAfterMs }))
+      request?.answer(err({ reason: action.reason, retryAfterMs: action.retryAfterMs }))
       return
     }
     // The operation was cancelled while its turn came.
-    if (waiter === undefined) return this.step({ kind: 'finished', id: action.id, isUsable: true })
-    const { team, values } = waiter.wish
+    if (request === undefined) return this.step({ kind: 'finished', id: action.id, isUsable: true })
+    const { team, values } = request.wish
     const link = this.idle.take(team, values)
-    if (link === undefined) this.openFor(waiter)
-    else this.lend(link, waiter)
+    if (link === undefined) this.openFor(request)
+    else this.handOut(link, request)
   }
 
-  private lend (link: EndpointLink, waiter: BorrowRequest): void {
-    const { id, wish, answer } = waiter
-    this.loans.set(link, { id, wish, aim: this.aimOf(waiter) })
+  private handOut (link: EndpointLink, request: BorrowRequest): void {
+    const { id, wish, answer } = request
+    this.borrowings.set(link, { id, wish, aim: this.aimOf(request) })
     this.idle.recordUse(wish.team, clock.now())
     this.idleTimeouts.cancel(link)
     answer(ok(link))
@@ -246,16 +246,16 @@
   }
 
   /** Opens a connection for an admitted operation whose team has none idle; closes an idle one of another team if there is no room. */
-  private async openFor (waiter: BorrowRequest): Promise<void> {
+  private async openFor (request: BorrowRequest): Promise<void> {
     const { places } = this
-    const ticket = places === undefined ? undefined : await this.waitForOpening(places, waiter)
+    const ticket = places === undefined ? undefined : await this.waitForOpening(places, request)
     if (places !== undefined && ticket === undefined) return
-    const { id } = waiter
+    const { id } = request
     if (this.idle.size > this.admission.counts.idle) this.makeRoom()
-    const dialled = await this.dialer.dial(waiter.wish.team)
+    const dialled = await this.dialer.dial(request.wish.team)
     ticket?.returnPlace(dialled.isOk() ? 'done' : isEndpointFull(dialled.error) ? 'notSent' : 'broken')
     if (dialled.isOk()) {
-      this.lend(dialled.value, waiter)
+      this.handOut(dialled.value, request)
       return this.step({ kind: 'dialled' })
     }
     this.step({ kind: 'finished', id, isUsable: false })
@@ -263,13 +263,13 @@
     const vacant = this.admission.counts.idle - this.idle.size
     if (vacant > 0) this.step({ kind: 'lost', count: vacant })
     if (!isEndpointFull(dialled.error)) {
-      waiter.answer(err({ reason: 'unreachable', retryAfterMs: UNREACHABLE_RETRY_MS }))
+      request.answer(err({ reason: 'unreachable', retryAfterMs: UNREACHABLE_RETRY_MS }))
       return this.step({ kind: 'dialFailed' })
     }
-    this.thrift = this.thrift.refused(clock.now())
+    this.scarcity = this.scarcity.refused(clock.now())
     this.step({ kind: 'dialRefused' })
-    if (this.isClosed) return waiter.answer(err({ reason: 'unreachable', retryAfterMs: 0 }))
-    this.enqueue({ ...waiter, id: this.nextId++ })
+    if (this.isClosed) return request.answer(err({ reason: 'unreachable', retryAfterMs: 0 }))
+    this.enqueue({ ...request, id: this.nextId++ })
   }
 
   private makeRoom (): void {
@@ -280,18 +280,18 @@
   }
 
   /** Resolves with a place for the opening, or with undefined if the request was served or refused otherwise. */
-  private async waitForOpening (places: Places, waiter: BorrowRequest): Promise<PlaceTicket | undefined> {
-    const { id, wish: { team }, answer } = waiter
-    const own = [...this.loans.values()].filter(({ wish }) => wish.team === team).length
+  private async waitForOpening (places: Places, request: BorrowRequest): Promise<PlaceTicket | undefined> {
+    const { id, wish: { team }, answer } = request
+    const borrowed = [...this.borrowings.values()].filter(({ wish }) => wish.team === team).length
     const hasRoom = this.admission.openConnections + this.admission.counts.pending < this.limit
-    const turn = await this.openings.waitForTurn(places, waiter, { own, openings: hasRoom ? 1 : 2 })
+    const turn = await this.openings.waitForTurn(places, request, { borrowed, openings: hasRoom ? 1 : 2 })
     if (typeof turn !== 'string') return turn
     if (turn === 'taken') return undefined
     this.step({ kind: 'finished', id, isUsable: true })
     answer(err({ reason: 'busy', retryAfterMs: UNREACHABLE_RETRY_MS }))
   }
 
-  private refuseParked (retryAfterMs: number): void {
+  private refuseTeamWaiters (retryAfterMs: number): void {
     for (const { id, answer } of this.openings.takeAll()) {
       this.step({ kind: 'finished', id, isUsable: true })
       answer(err({ reason: 'unreachable', retryAfterMs }))
@@ -305,16 +305,16 @@
 
   private handleOpenFailure (fault: DialFault): void {
     if (!isEndpointFull(fault)) return this.step({ kind: 'openFailed' })
-    this.thrift = this.thrift.refused(clock.now())
+    this.scarcity = this.scarcity.refused(clock.now())
     this.step({ kind: 'openRefused' })
   }
 
   private handleEnd (link: EndpointLink): void {
-    this.loans.get(link)?.ticket?.cancel()
+    this.borrowings.get(link)?.ticket?.cancel()
     if (this.idle.remove(link)) this.step({ kind: 'lost', count: 1 })
   }
 
-  private drop (link: EndpointLink): void {
+  private closeIdleLink (link: EndpointLink): void {
     this.idleTimeouts.cancel(link)
     if (!this.idle.remove(link)) return
     link.close()
--- a/src/shell/pool/connections/endpointdialer.ts
+++ b/src/shell/pool/connections/endpointdialer.ts
@@ -30,9 +30,9 @@
 
   /** `team`: the team that the connection serves; undefined for a connection that serves anyone. */
   async dial (team: TeamId | undefined): Promise<Result<EndpointLink, DialFault>> {
-    const { dialer, endpoint, onDialEnded: onDialled, onOpened, onEnded } = this.options
+    const { dialer, endpoint, onDialEnded, onOpened, onEnded } = this.options
     const dialled = await dialer.dial(endpoint, team, DIAL_MS)
-    onDialled(dialled.isOk() ? 'opened' : dialled.error)
+    onDialEnded(dialled.isOk() ? 'opened' : dialled.error)
     if (dialled.isErr()) return dialled
     const link = dialled.value
     if (this.isClosed) {
--- a/src/shell/pool/connections/idlelinks.ts
+++ b/src/shell/pool/connections/idlelinks.ts
@@ -85,10 +85,10 @@
   takeLeastUsed (now: Instant): EndpointLink | undefined {
     const counts = new Map<TeamId | undefined, number>()
     for (const link of this.links) counts.set(this.teams.get(link), (counts.get(this.teams.get(link)) ?? 0) + 1)
-    const partOf = (link: EndpointLink) => this.use.of(this.teams.get(link), now) / counts.get(this.teams.get(link))!
+    const usePerLink = (link: EndpointLink) => this.use.of(this.teams.get(link), now) / counts.get(this.teams.get(link))!
     let least = 0
     for (let i = 1; i < this.links.length; i++) {
-      if (partOf(this.links[i]!) < partOf(this.links[least]!)) least = i
+      if (usePerLink(this.links[i]!) < usePerLink(this.links[least]!)) least = i
     }
     this.use.tidy(now)
     return this.links.splice(least, 1)[0]
--- a/src/shell/pool/connections/openingqueue.ts
+++ b/src/shell/pool/connections/openingqueue.ts
@@ -18,7 +18,7 @@
 
 interface OpeningDemand {
   /** Borrowed connections of the team. */
-  readonly own: number
+  readonly borrowed: number
   /** Openings that it causes: its own, and that of the team whose connection is closed for it. */
   readonly openings: number
 }
@@ -30,7 +30,7 @@
 
 /** `T`: a request with the data for serving it. */
 export class OpeningQueue<T extends Request> {
-  private readonly parked = TeamWaitList.create<T>()
+  private readonly waitList = TeamWaitList.create<T>()
 
   private constructor () {}
 
@@ -40,12 +40,12 @@
 
   /** Removes and returns the request that gets a returned connection of the team; undefined if none waits. */
   next (team: TeamId | undefined): T | undefined {
-    return this.parked.take(team)
+    return this.waitList.take(team)
   }
 
   /** Removes and returns all waiting requests. */
   takeAll (): readonly T[] {
-    return this.parked.takeAll()
+    return this.waitList.takeAll()
   }
 
   /**
@@ -56,20 +56,20 @@
    * So a request first waits for its team's connections for as long as an opening would delay all who wait. This costs at
    * most twice as much as the better of the two choices.
    */
-  async waitForTurn (places: Places, request: T, standing: OpeningDemand): Promise<PlaceTicket | 'taken' | 'refused'> {
+  async waitForTurn (places: Places, request: T, demand: OpeningDemand): Promise<PlaceTicket | 'taken' | 'refused'> {
     const { wish: { team, rank, caller }, deadline } = request
-    const seat = this.parked.join(team, rank, request)
-    const waitMs = Math.min((deadline - clock.now()) * MAX_WAIT_SHARE, costMs(places, standing))
-    if (waitMs > 0) await Promise.race([seat.ended, pause(waitMs)])
-    if (seat.isTaken) return 'taken'
+    const entry = this.waitList.add(team, rank, request)
+    const waitMs = Math.min((deadline - clock.now()) * MAX_WAIT_SHARE, openingDelayMs(places, demand))
+    if (waitMs > 0) await Promise.race([entry.ended, pause(waitMs)])
+    if (entry.isTaken) return 'taken'
     const ticket = places.requestPlace({ rank, caller, what: 'opening', leftMs: deadline - clock.now() })
-    seat.ended.then(() => ticket.cancel())
+    entry.ended.then(() => ticket.cancel())
     const isGranted = await ticket.granted
-    if (seat.isTaken) {
+    if (entry.isTaken) {
       ticket.returnPlace('notSent')
       return 'taken'
     }
-    this.parked.leave(seat)
+    this.waitList.remove(entry)
     return isGranted ? ticket : 'refused'
   }
 
@@ -86,8 +86,8 @@
 }
 
 /** Total delay that an opening causes, in milliseconds: its own time in a place, and as much for each that waits. 0 if the team has no connections to wait for. */
-function costMs (places: Places, { own, openings }: OpeningDemand): number {
-  return own === 0 ? 0 : openings * places.openingMs * (1 + places.load().waiting)
+function openingDelayMs (places: Places, { borrowed, openings }: OpeningDemand): number {
+  return borrowed === 0 ? 0 : openings * places.openingMs * (1 + places.load().waiting)
 }
 
 async function pause (ms: number): Promise<void> {
--- a/src/shell/pool/connections/places.ts
+++ b/src/shell/pool/connections/places.ts
@@ -31,7 +31,7 @@
   readonly chance: () => number
 }
 
-interface Wish {
+interface PlaceRequest {
   readonly rank: number
   readonly caller: string
   readonly what: PlaceOrder['what']
@@ -52,13 +52,13 @@
 const UNANSWERED: ReadonlySet<PlaceEnding> = new Set<PlaceEnding>(['broken', 'outOfTime'])
 
 export class Places {
-  private readonly gate = PlaceScheduler.create()
+  private readonly scheduler = PlaceScheduler.create()
   private readonly limit: PlaceLimit
   private readonly pending = new Map<number, Settle>()
   private nextId = 1
   private readonly ticker = Ticker.create(TICK_MS, () => this.step({ kind: 'tick' }))
-  private shedAt = -Infinity as Instant
-  private refusedAt = -Infinity as Instant
+  private shedLoggedAt = -Infinity as Instant
+  private refusedLoggedAt = -Infinity as Instant
   private refused = 0
   private places: number
 
@@ -73,7 +73,7 @@
 
   /** Number of statements and openings that wait for a place, without those that wait for a connection. */
   get waiting (): number {
-    return this.gate.waiting
+    return this.scheduler.waiting
   }
 
   /** This host's load at the endpoint. */
@@ -81,12 +81,12 @@
     const { endpoint, queued } = this.options
     const now = clock.now()
     const answers = this.options.answers()
-    return { endpoint, atWork: this.gate.atWork, waiting: this.gate.waiting + queued(), answerMs: answers.answerMs(now), failing: answers.failing(now) }
+    return { endpoint, atWork: this.scheduler.atWork, waiting: this.scheduler.waiting + queued(), answerMs: answers.answerMs(now), failing: answers.failing(now) }
   }
 
   /** Milliseconds for which an opening occupies a place. */
   get openingMs (): number {
-    return this.gate.openingMs(clock.now())
+    return this.scheduler.openingMs(clock.now())
   }
 
   /** Takes in the number of places that the endpoint reports. */
@@ -98,7 +98,7 @@
     this.step({ kind: 'tick' })
   }
 
-  requestPlace ({ rank, caller, what, leftMs, aim }: Wish): PlaceTicket {
+  requestPlace ({ rank, caller, what, leftMs, aim }: PlaceRequest): PlaceTicket {
     const id = this.nextId++
     const since = clock.now()
     let grantedAt: Instant | undefined
@@ -143,17 +143,17 @@
   }
 
   private step (event: PlaceEvent): void {
-    const { gate, options: { others, endpoint, queued } } = this
+    const { scheduler, options: { others, endpoint, queued } } = this
     const now = clock.now()
-    const demand = gate.atWork + gate.waiting + queued() + (event.kind === 'arrived' ? 1 : 0)
+    const demand = scheduler.atWork + scheduler.waiting + queued() + (event.kind === 'arrived' ? 1 : 0)
     const limit = this.limit.at(demand, others.at(endpoint, now), now)
-    for (const { kind, id } of gate.step(event, limit, now)) {
+    for (const { kind, id } of scheduler.step(event, limit, now)) {
       const settle = this.pending.get(id)
       this.pending.delete(id)
       if (kind === 'refuse') this.recordRefused(now)
       settle?.(kind === 'start')
     }
-    if (this.gate.waiting > 0) this.ticker.run()
+    if (this.scheduler.waiting > 0) this.ticker.run()
     else this.ticker.stop()
   }
 
@@ -162,18 +162,18 @@
     const { metrics, log, endpoint } = this.options
     this.limit.backOff(now)
     metrics.placesShed.inc()
-    if (now - this.shedAt < LOG_INTERVAL_MS) return
-    this.shedAt = now
-    log.write('endpointFull', { endpoint, atWork: this.gate.atWork, waiting: this.gate.waiting })
+    if (now - this.shedLoggedAt < LOG_INTERVAL_MS) return
+    this.shedLoggedAt = now
+    log.write('endpointFull', { endpoint, atWork: this.scheduler.atWork, waiting: this.scheduler.waiting })
   }
 
   private recordRefused (now: Instant): void {
     const { metrics, log, endpoint } = this.options
     metrics.placesRefused.inc()
     this.refused++
-    if (now - this.refusedAt < LOG_INTERVAL_MS) return
-    log.write('placesRefused', { endpoint, count: this.refused, atWork: this.gate.atWork, waiting: this.gate.waiting })
-    this.refusedAt = now
+    if (now - this.refusedLoggedAt < LOG_INTERVAL_MS) return
+    log.write('placesRefused', { endpoint, count: this.refused, atWork: this.scheduler.atWork, waiting: this.scheduler.waiting })
+    this.refusedLoggedAt = now
     this.refused = 0
   }
 }
--- a/src/shell/pool/connections/teamwaitlist.ts
+++ b/src/shell/pool/connections/teamwaitlist.ts
@@ -25,7 +25,7 @@
 
 /** The list is short, since each operation holds one of the host's connections to the endpoint, or room for one. */
 export class TeamWaitList<T> {
-  private seats: Array<Entry<T>> = []
+  private entries: Array<Entry<T>> = []
 
   private constructor () {}
 
@@ -34,33 +34,33 @@
   }
 
   countOf (team: TeamId | undefined): number {
-    return this.seats.filter(seat => seat.team === team).length
+    return this.entries.filter(entry => entry.team === team).length
   }
 
-  join (team: TeamId | undefined, rank: number, value: T): Entry<T> {
-    const seat = Entry.create(team, rank, value)
-    this.seats.push(seat)
-    return seat
+  add (team: TeamId | undefined, rank: number, value: T): Entry<T> {
+    const entry = Entry.create(team, rank, value)
+    this.entries.push(entry)
+    return entry
   }
 
-  leave (seat: Entry<T>): void {
-    this.seats = this.seats.filter(other => other !== seat)
+  remove (entry: Entry<T>): void {
+    this.entries = this.entries.filter(other => other !== entry)
   }
 
   /** Removes and returns the most urgent operation of the team, the first among equals; undefined if none waits. */
   take (team: TeamId | undefined): T | undefined {
     let best: Entry<T> | undefined
-    for (const seat of this.seats) {
-      if (seat.team === team && (best === undefined || seat.rank < best.rank)) best = seat
+    for (const entry of this.entries) {
+      if (entry.team === team && (best === undefined || entry.rank < best.rank)) best = entry
     }
     if (best === undefined) return undefined
-    this.leave(best)
+    this.remove(best)
     return best.take()
   }
 
   takeAll (): readonly T[] {
-    const { seats } = this
-    this.seats = []
-    return seats.map(seat => seat.take())
+    const { entries } = this
+    this.entries = []
+    return entries.map(entry => entry.take())
   }
 }
--- a/src/shell/pool/failover/failovercontroller.ts
+++ b/src/shell/pool/failover/failovercontroller.ts
@@ -54,11 +54,11 @@
 const objectionShape = z.object({ fence: z.number(), endpoint: z.string() })
 
 export class FailoverController {
-  private succession = GroupFailover.create(clock.now())
+  private groupFailover = GroupFailover.create(clock.now())
   private lease: Lease | undefined
   private readonly probing = new Set<EndpointId>()
   /** The highest fence with an objection. */
-  private objectedTo = 0
+  private objectedFence = 0
   private readonly probes: Probes
 
   private constructor (private readonly options: Options) {
@@ -73,9 +73,9 @@
   tick (): void {
     const { group } = this.options
     for (const { id } of group.knownEndpoints) {
-      if (!this.probing.has(id) && group.contact(id).isSuspect(clock.now())) this.settleDoubt(id)
+      if (!this.probing.has(id) && group.reachability(id).isSuspect(clock.now())) this.probeSuspect(id)
     }
-    if (!this.succession.isIdle || !this.isHealthy) this.step({ kind: 'tick' })
+    if (!this.groupFailover.isIdle || !this.isHealthy) this.step({ kind: 'tick' })
   }
 
   /** A cheap check for the normal case, in which the view needn't be built. */
@@ -92,14 +92,14 @@
     const { holder, asksFor } = parsed.data
     this.lease = Lease.of({ holder: holder as HostId, asksFor: asksFor as EndpointId | undefined, version, seenAt: clock.age() })
     this.options.group.outage.recordClaim(version)
-    if (this.lease.asksFor !== undefined && holder !== this.options.host) this.considerObjection(this.lease.asksFor, version)
+    if (this.lease.asksFor !== undefined && holder !== this.options.host) this.objectIfReachable(this.lease.asksFor, version)
   }
 
   objectionMade ({ key, value }: Row): void {
     const objection = objectionOf(value)
     if (objection === undefined) return
     const { fence, endpoint } = objection
-    this.objectedTo = Math.max(this.objectedTo, fence)
+    this.objectedFence = Math.max(this.objectedFence, fence)
     const host = this.options.hosts().find(({ id }) => key.endsWith(`/${id}`))
     if (host !== undefined && host.id !== this.options.host) this.options.group.recordReachableVia(endpoint, host)
     this.options.group.outage.cancelExpectation()
@@ -114,7 +114,7 @@
   }
 
   private get view (): GroupFailoverView {
-    const { group, host, failoverOrder: turns, drainMs } = this.options
+    const { group, host, failoverOrder, drainMs } = this.options
     const { leader, endpoints } = group
     const now = clock.age()
     const listed = leader === undefined ? undefined : group.endpoint(leader)
@@ -124,17 +124,17 @@
       isLeaving: listed?.isLeaving === true,
       catchUpMs: drainMs * CATCH_UP_SHARE,
       isListed: listed !== undefined,
-      isFailing: leader !== undefined && group.contact(leader).isFailing(clock.now()),
+      isFailing: leader !== undefined && group.reachability(leader).isFailing(clock.now()),
       leaving: new Set(endpoints.filter(({ isLeaving }) => isLeaving).map(({ id }) => id)),
-      rank: Math.max(0, turns().indexOf(host)),
+      rank: Math.max(0, failoverOrder().indexOf(host)),
       mayClaim: this.lease === undefined || this.lease.mayClaim(host, now),
       isLeaseHolder: this.lease?.isHeldBy(host, now) === true
     }
   }
 
   private step (event: GroupFailoverEvent): void {
-    const { next, actions } = this.succession.step(event, this.view, clock.now())
-    this.succession = next
+    const { next, actions } = this.groupFailover.step(event, this.view, clock.now())
+    this.groupFailover = next
     for (const action of actions) this.act(action)
   }
 
@@ -186,8 +186,8 @@
 
   private promote (action: Promote): void {
     const { group, log } = this.options
-    const { endpoint, fence, handoverFrom: handsOver } = action
-    log.write('promotionBegun', { group: group.id, endpoint, fence, before: group.leader ?? 'none', isHandover: handsOver !== undefined })
+    const { endpoint, fence, handoverFrom } = action
+    log.write('promotionBegun', { group: group.id, endpoint, fence, before: group.leader ?? 'none', isHandover: handoverFrom !== undefined })
     this.announce(action).then(async isAnnounced => {
       const outcome = isAnnounced ? await this.order(endpoint, fence) : 'notDone'
       log.write('promotionOrdered', { group: group.id, endpoint, fence, outcome })
@@ -196,13 +196,13 @@
   }
 
   /** Announces the successor of a leaving primary to all hosts before its promotion; resolves with false if the store didn't take the row. */
-  private async announce ({ endpoint, handoverFrom: handsOver }: Promote): Promise<boolean> {
-    if (handsOver === undefined) return true
+  private async announce ({ endpoint, handoverFrom }: Promote): Promise<boolean> {
+    if (handoverFrom === undefined) return true
     const { group, platform, table, metrics, signal } = this.options
     metrics.storeCalls.inc({ call: 'write', table: 'shared', why: 'handover' })
-    const value = JSON.stringify({ old: handsOver, successor: endpoint })
+    const value = JSON.stringify({ old: handoverFrom, successor: endpoint })
     const changed = await platform.store.change([{ table, key: `handover/${group.id}`, value }], signal)
-    if (changed.isOk()) group.setHandover(Handover.of({ old: handsOver, successor: endpoint }))
+    if (changed.isOk()) group.setHandover(Handover.of({ old: handoverFrom, successor: endpoint }))
     return changed.isOk()
   }
 
@@ -219,7 +219,7 @@
     for (const { id } of group.endpoints) this.probes.ask(id, { kind: 'resume' })
   }
 
-  private settleDoubt (id: EndpointId): void {
+  private probeSuspect (id: EndpointId): void {
     this.probing.add(id)
     this.probes.proveLeader(id).then(() => {
       this.probing.delete(id)
@@ -232,13 +232,13 @@
    * earlier answer may be from before a crash, and a wrong objection delays the failover. One objection is enough, so hosts object
    * in turn, and only if there is none yet.
    */
-  private async considerObjection (endpoint: EndpointId, fence: number): Promise<void> {
-    const { group, host, failoverOrder: turns, platform, table, log, metrics, signal } = this.options
-    const order = turns()
+  private async objectIfReachable (endpoint: EndpointId, fence: number): Promise<void> {
+    const { group, host, failoverOrder, platform, table, log, metrics, signal } = this.options
+    const order = failoverOrder()
     await pause(OBJECTION_SPREAD_MS * Math.max(0, order.indexOf(host)) / Math.max(1, order.length), undefined, { signal }).catch(() => 'the process ends')
-    if (signal.aborted || this.objectedTo >= fence) return
-    this.probes.proveLeader(endpoint).then(isThere => {
-      if (!isThere || group.leader !== endpoint) return
+    if (signal.aborted || this.objectedFence >= fence) return
+    this.probes.proveLeader(endpoint).then(isLeader => {
+      if (!isLeader || group.leader !== endpoint) return
       log.write('objected', { group: group.id, endpoint, fence })
       metrics.storeCalls.inc({ call: 'write', table: 'shared', why: 'objection' })
       platform.store.change([{ table, key: `objection/${group.id}/${host}`, value: JSON.stringify({ fence, endpoint }) }], signal)
--- a/src/shell/pool/failover/outage.ts
+++ b/src/shell/pool/failover/outage.ts
@@ -61,12 +61,12 @@
 
   /** Logs that a statement waits for a primary expected in `ms`, or with undefined that one was refused because none is expected. At most two lines per outage. */
   logWait (ms: number | undefined): void {
-    const { group, count, log, logged: told } = this
-    if (ms !== undefined && told === 'nothing') {
+    const { group, count, log, logged } = this
+    if (ms !== undefined && logged === 'nothing') {
       this.logged = 'awaited'
       log.write('primaryAwaited', { group, expectedMs: Math.round(ms) })
     }
-    if (ms === undefined && told === 'awaited') {
+    if (ms === undefined && logged === 'awaited') {
       this.logged = 'unexpected'
       log.write('primaryUnexpected', { group, waiting: count })
     }
--- a/src/shell/pool/failover/probes.ts
+++ b/src/shell/pool/failover/probes.ts
@@ -47,9 +47,9 @@
   private handleDialFault (id: EndpointId, fault: DialFault): boolean {
     const { group } = this
     if (fault === 'tooManyConnections') group.answered(id, undefined, clock.age(), false)
-    const isFull = fault === 'tooManyConnections' || (fault === 'turnedAway' && group.contact(id).hasAnsweredWithin(FULL_MS, clock.now()))
-    if (!isFull) group.recordNoAnswer(id)
-    return isFull
+    const isOnlyFull = fault === 'tooManyConnections' || (fault === 'turnedAway' && group.reachability(id).hasAnsweredWithin(FULL_MS, clock.now()))
+    if (!isOnlyFull) group.recordNoAnswer(id)
+    return isOnlyFull
   }
 
   /** The endpoint's status after the command; undefined if it doesn't answer. */
--- a/src/shell/pool/group.ts
+++ b/src/shell/pool/group.ts
@@ -36,8 +36,8 @@
 import { Outage } from './failover/outage.ts'
 import { Watchers } from './watchers.ts'
 
-const PATIENT = PatientRetryPolicy.create()
-const PROMPT = FailFastRetryPolicy.create()
+const PATIENT_POLICY = PatientRetryPolicy.create()
+const FAIL_FAST_POLICY = FailFastRetryPolicy.create()
 
 interface Options {
   readonly id: GroupId
@@ -56,8 +56,8 @@
 /** Holds the group's immutable values and replaces them as events come in. */
 export class PoolGroup {
   private readonly connectionPools = new Map<EndpointId, ConnectionPool>()
-  private readonly standings = new Map<EndpointId, LogState>()
-  private readonly contacts = new Map<EndpointId, Reachability>()
+  private readonly logStates = new Map<EndpointId, LogState>()
+  private readonly reachabilities = new Map<EndpointId, Reachability>()
   /** Chooses endpoints for reads. */
   readonly readRouter: ReadRouter
   /** Endpoints that were logged as unreachable. */
@@ -65,10 +65,10 @@
   private directory: Directory = Endpoints.empty
   private leadership: Leadership
   private progress = LogProgress.empty
-  private share: EndpointShare = { connections: 1, isOwner: false, hasRoom: false, otherOwners: [] }
+  private share: EndpointShare = { connections: 1, isOwner: false, hasSpareConnections: false, otherOwners: [] }
   /** The last that was announced; it may be about an endpoint that is no longer the primary. */
   private handover: Handover | undefined
-  private reach = ReachingHosts.none
+  private reachingHosts = ReachingHosts.none
   private readonly service = ServiceTime.create()
   /** Recent statements by team. */
   readonly usage = GroupUsage.create(clock.now())
@@ -82,7 +82,7 @@
   private constructor (private readonly options: Options) {
     this.leadership = Leadership.create(options.id, clock.now())
     this.outage = Outage.create(options.id, options.log)
-    this.readRouter = ReadRouter.create(options, () => this.readsView())
+    this.readRouter = ReadRouter.create(options, () => this.readView())
     this.readRouter.setOthersLoad(this.sharedLoad)
   }
 
@@ -129,24 +129,24 @@
     return this.directory.get(id)
   }
 
-  contact (id: EndpointId): Reachability {
-    return this.contacts.get(id) ?? Reachability.none
+  reachability (id: EndpointId): Reachability {
+    return this.reachabilities.get(id) ?? Reachability.none
   }
 
   /** Records that another host reaches the endpoint. */
   recordReachableVia (id: EndpointId, host: PoolHost): void {
-    this.reach = this.reach.with(id, host, clock.now())
+    this.reachingHosts = this.reachingHosts.with(id, host, clock.now())
   }
 
   /** A host that recently reached the endpoint, preferably in this data centre; undefined if none did. */
   hostReaching (id: EndpointId | undefined): PoolHost | undefined {
-    const hosts = id === undefined ? [] : this.reach.hosts(id, clock.now())
+    const hosts = id === undefined ? [] : this.reachingHosts.hosts(id, clock.now())
     return hosts.find(({ dataCentre }) => dataCentre === this.options.dataCentre) ?? hosts[0]
   }
 
   /** Whether there is a primary that this host doesn't reach. */
   isLeaderUnreachable (): boolean {
-    return this.leader !== undefined && this.contact(this.leader).isFailing(clock.now())
+    return this.leader !== undefined && this.reachability(this.leader).isFailing(clock.now())
   }
 
   /** Milliseconds without a known primary. */
@@ -161,7 +161,7 @@
 
   /** Which statements wait for a missing resource. They only do where the group has assigned owners, since each owner then knows the load. */
   get retryPolicy (): RetryPolicy {
-    return this.share.hasRoom ? PATIENT : PROMPT
+    return this.share.hasSpareConnections ? PATIENT_POLICY : FAIL_FAST_POLICY
   }
 
   /** The number of connections that this host may have to an endpoint. */
@@ -187,9 +187,9 @@
     const before = this.directory
     this.directory = directory
     this.setLeadership(this.leadership.directoryChanged(before, directory), 'directory')
-    for (const { id, startedAtMs: bornAt } of this.endpoints) {
+    for (const { id, startedAtMs } of this.endpoints) {
       const old = before.get(id)
-      if (old !== undefined && old.startedAtMs !== bornAt) this.removeEndpoint(id)
+      if (old !== undefined && old.startedAtMs !== startedAtMs) this.removeEndpoint(id)
     }
     for (const { id, places } of this.endpoints) this.connectionPools.get(id)?.resize(this.share, places)
     const ids = new Set(this.endpoints.map(({ id }) => id))
@@ -199,12 +199,12 @@
   }
 
   /** Changes this host's share of each endpoint's connections. */
-  setShare (dealt: EndpointShare): void {
-    const { connections, isOwner } = dealt
+  setShare (share: EndpointShare): void {
+    const { connections, isOwner } = share
     if (connections !== this.share.connections) this.options.log.write('shareDealt', { group: this.id, connections, isOwner })
-    this.share = dealt
-    this.sharedLoad.setOwners(dealt.otherOwners)
-    for (const [id, lender] of this.connectionPools) lender.resize(dealt, this.directory.get(id)?.places ?? lender.endpoint.places)
+    this.share = share
+    this.sharedLoad.setOwners(share.otherOwners)
+    for (const [id, connectionPool] of this.connectionPools) connectionPool.resize(share, this.directory.get(id)?.places ?? connectionPool.endpoint.places)
   }
 
   setHandover (handover: Handover): void {
@@ -218,17 +218,17 @@
 
   /** The connection pool of the endpoint, created on first use; undefined for an endpoint that isn't listed. */
   connectionPool (id: EndpointId): ConnectionPool | undefined {
-    const known = this.connectionPools.get(id)
-    if (known !== undefined) return known
+    const existing = this.connectionPools.get(id)
+    if (existing !== undefined) return existing
     const endpoint = this.directory.get(id)
     if (endpoint === undefined) return undefined
     const { dialer, chance, startedAt } = this.options
-    const { share: dealt, share: { hasRoom }, options: { log, metrics } } = this
+    const { share, share: { hasSpareConnections }, options: { log, metrics } } = this
     const count = (places: number, queued: () => number) => Places.create({ endpoint: id, places, queued, others: this.sharedLoad, answers: () => this.readRouter.answers(id), log, metrics, chance })
-    const onDialled = (outcome: 'opened' | DialFault) => this.recordDial(id, outcome)
-    const lender = ConnectionPool.create({ endpoint, dialer, chance, thrift: hasRoom ? ConnectionScarcity.none : ConnectionScarcity.started(startedAt), share: dealt, count, onDialEnded: onDialled })
-    this.connectionPools.set(id, lender)
-    return lender
+    const onDialEnded = (outcome: 'opened' | DialFault) => this.recordDial(id, outcome)
+    const connectionPool = ConnectionPool.create({ endpoint, dialer, chance, scarcity: hasSpareConnections ? ConnectionScarcity.none : ConnectionScarcity.started(startedAt), share, count, onDialEnded })
+    this.connectionPools.set(id, connectionPool)
+    return connectionPool
   }
 
   /** This host's load at the group's endpoints, for those where it's counted. */
@@ -237,8 +237,8 @@
   }
 
   /** The log position that a read of at most `ageMs` staleness requires; undefined if only the primary can serve it. */
-  requiredPosition (own: Token, ageMs: number): Token | undefined {
-    return this.progress.requiredPosition(own, ageMs, clock.age())
+  requiredPosition (newestCommit: Token, ageMs: number): Token | undefined {
+    return this.progress.requiredPosition(newestCommit, ageMs, clock.age())
   }
 
   /** Milliseconds since the primary's position was last asked for; undefined if it never was. */
@@ -250,7 +250,7 @@
   answered (id: EndpointId, position: Token | undefined, sentAt: Instant, isLead: boolean): void {
     this.recordReached(id, clock.now())
     if (position === undefined) return
-    this.standings.set(id, this.standing(id).answered(position, clock.now()))
+    this.logStates.set(id, this.logState(id).answered(position, clock.now()))
     if (isLead) this.progress = this.progress.with(position, sentAt)
     this.readRouter.answered(id, position)
     if (!isLead) return
@@ -264,7 +264,7 @@
   }
 
   recordBehind (id: EndpointId): void {
-    this.standings.set(id, this.standing(id).withRefusal(clock.now()))
+    this.logStates.set(id, this.logState(id).withRefusal(clock.now()))
     this.readRouter.recordBehind(id)
   }
 
@@ -274,16 +274,16 @@
 
   /** Records that something was sent to the endpoint. */
   recordRequest (id: EndpointId): void {
-    const contact = this.contact(id)
-    const next = contact.asked(clock.now())
-    if (next !== contact) this.contacts.set(id, next)
+    const reachability = this.reachability(id)
+    const next = reachability.asked(clock.now())
+    if (next !== reachability) this.reachabilities.set(id, next)
   }
 
   recordNoAnswer (id: EndpointId): void {
     const now = clock.now()
-    const contact = this.contact(id).failed(now)
-    this.contacts.set(id, contact)
-    if (!contact.isFailing(now)) return
+    const reachability = this.reachability(id).failed(now)
+    this.reachabilities.set(id, reachability)
+    if (!reachability.isFailing(now)) return
     if (id === this.leader) this.outage.begin()
     this.connectionPools.get(id)?.refuseWaiting()
     this.watchers.notify(id)
@@ -304,27 +304,27 @@
   }
 
   private recordReached (id: EndpointId, now: Instant): void {
-    const wasOut = id === this.leader && this.isLeaderUnreachable()
-    this.contacts.set(id, this.contact(id).reached(now))
-    if (wasOut) this.outage.end()
+    const wasUnreachable = id === this.leader && this.isLeaderUnreachable()
+    this.reachabilities.set(id, this.reachability(id).reached(now))
+    if (wasUnreachable) this.outage.end()
     if (this.unreached.delete(id)) this.options.log.write('endpointReachable', { endpoint: id, group: this.id })
   }
 
-  private readsView (): ReturnType<Parameters<typeof ReadRouter.create>[1]> {
+  private readView (): ReturnType<Parameters<typeof ReadRouter.create>[1]> {
     const now = clock.now()
     return {
       endpoints: this.endpoints,
       primary: this.leader,
       progress: this.progress,
-      isShared: this.share.hasRoom,
-      standing: id => this.standing(id),
-      lender: id => this.connectionPools.get(id),
-      isReachable: id => !this.contact(id).isUnreachable(now)
+      isShared: this.share.hasSpareConnections,
+      standing: id => this.logState(id),
+      connectionPool: id => this.connectionPools.get(id),
+      isReachable: id => !this.reachability(id).isUnreachable(now)
     }
   }
 
-  private standing (id: EndpointId): LogState {
-    return this.standings.get(id) ?? LogState.unknown
+  private logState (id: EndpointId): LogState {
+    return this.logStates.get(id) ?? LogState.unknown
   }
 
   private setLeadership (next: Leadership, cause: string): void {
@@ -340,9 +340,9 @@
   private removeEndpoint (id: EndpointId): void {
     this.connectionPools.get(id)?.close()
     this.connectionPools.delete(id)
-    this.standings.delete(id)
+    this.logStates.delete(id)
     this.readRouter.removeEndpoint(id)
-    this.contacts.delete(id)
+    this.reachabilities.delete(id)
     this.unreached.delete(id)
   }
 }
--- a/src/shell/pool/groups.ts
+++ b/src/shell/pool/groups.ts
@@ -72,15 +72,15 @@
 
   /** Takes in a change of the configuration. */
   applyConfig (): void {
-    const wanted = new Set(this.options.config().groups.map(({ id }) => id))
+    const configuredIds = new Set(this.options.config().groups.map(({ id }) => id))
     for (const [id, group] of this.groups) {
-      if (wanted.has(id)) continue
+      if (configuredIds.has(id)) continue
       group.close()
       this.groups.delete(id)
       this.places.delete(id)
       this.failovers.delete(id)
     }
-    for (const id of wanted) {
+    for (const id of configuredIds) {
       if (this.groups.has(id)) continue
       const { self, platform, log, metrics, chance, startedAt, directory } = this.options
       const group = PoolGroup.create({ id, dataCentre: self.dataCentre, dialer: platform.dialer, log, metrics, chance, startedAt })
@@ -108,40 +108,40 @@
 
   /** Recomputes the owners of each group. */
   assignOwners (): void {
-    const { self, config, hosts, affinity: meeting = singleOwnerAffinity } = this.options
+    const { self, config, hosts, affinity = singleOwnerAffinity } = this.options
     const { groups, teams } = config()
-    const sized = groups.map(({ id, connections }) => ({ id, connections, places: this.places.get(id) ?? GroupPlaces.none }))
+    const groupSizes = groups.map(({ id, connections }) => ({ id, connections, places: this.places.get(id) ?? GroupPlaces.none }))
     const before = this.ownerships
-    this.ownerships = Ownerships.of(sized, hosts(), teams !== undefined, meeting)
+    this.ownerships = Ownerships.of(groupSizes, hosts(), teams !== undefined, affinity)
     for (const { id } of groups) {
       const ownership = this.ownerships.get(id)!
       this.logOwners(id, before.get(id), ownership)
       const isOwner = ownership.isOwner(self.id)
-      const isPicked = isOwner && ownership.hasSpareConnections
-      const others = isPicked ? ownership.owners.filter(owner => owner.id !== self.id) : []
-      this.groups.get(id)?.setShare({ connections: isOwner ? ownership.connectionsPerOwner : 1, isOwner, hasRoom: isPicked, otherOwners: others })
+      const isAssigned = isOwner && ownership.hasSpareConnections
+      const others = isAssigned ? ownership.owners.filter(owner => owner.id !== self.id) : []
+      this.groups.get(id)?.setShare({ connections: isOwner ? ownership.connectionsPerOwner : 1, isOwner, hasSpareConnections: isAssigned, otherOwners: others })
     }
   }
 
   /** Only owners log a change of owners, since hundreds of hosts would each log every host that comes or goes. */
-  private logOwners (group: GroupId, before: Ownership | undefined, { owners, connectionsPerOwner: share, hasSpareConnections: hasRoom }: Ownership): void {
+  private logOwners (group: GroupId, before: Ownership | undefined, { owners, connectionsPerOwner, hasSpareConnections }: Ownership): void {
     const { self, log } = this.options
     const namesOf = (hosts: readonly PoolHost[]) => hosts.map(({ id }) => id).sort().join(' ')
     const isConcerned = [...owners, ...before?.owners ?? []].some(({ id }) => id === self.id)
-    if (!hasRoom || !isConcerned || namesOf(owners) === namesOf(before?.owners ?? [])) return
-    log.write('ownersPicked', { group, owners: namesOf(owners), connections: share })
+    if (!hasSpareConnections || !isConcerned || namesOf(owners) === namesOf(before?.owners ?? [])) return
+    log.write('ownersPicked', { group, owners: namesOf(owners), connections: connectionsPerOwner })
   }
 
   /** Updates the number of places of each group; returns whether one changed. */
   private updatePlaces (): boolean {
-    let isNews = false
+    let isChanged = false
     for (const [id, { endpoints }] of this.groups) {
       const before = this.places.get(id) ?? GroupPlaces.none
       const next = before.with(endpoints)
       this.places.set(id, next)
-      isNews ||= next !== before
+      isChanged ||= next !== before
     }
-    return isNews
+    return isChanged
   }
 
   private createFailover (group: PoolGroup): FailoverController {
--- a/src/shell/pool/load/loadreporter.test.ts
+++ b/src/shell/pool/load/loadreporter.test.ts
@@ -31,7 +31,7 @@
   isUp = true
   /** Reports that arrived while it was suspended. */
   readonly unread: LoadReport[] = []
-  hear: (report: LoadReport) => void = () => undefined
+  receive: (report: LoadReport) => void = () => undefined
   look = () => undefined as void
 
   get loads () {
@@ -59,7 +59,7 @@
     const reporter = LoadReporter.create({
       self: name as HostId,
       incarnation: this.now,
-      transport: { onReport: listener => { owner.hear = listener }, send: (hosts, report) => hosts.forEach(({ id }) => this.carry(name, id, report)) },
+      transport: { onReport: listener => { owner.receive = listener }, send: (hosts, report) => hosts.forEach(({ id }) => this.deliver(name, id, report)) },
       groups: () => [owner],
       group: () => owner,
       now: () => this.now as Instant,
@@ -81,22 +81,22 @@
       this.now += 100
       for (const owner of [...this.owners.values()].filter(({ isUp }) => isUp)) {
         owner.look()
-        for (const report of owner.unread.splice(0)) owner.hear(report)
+        for (const report of owner.unread.splice(0)) owner.receive(report)
       }
     }
   }
 
   /** The number of other owners that the owner knows, and their running statements. */
-  seen (name: string): string {
+  knownLoad (name: string): string {
     const { owners, atWork } = this.at(name).sharedLoad.at(E, this.now as Instant)
     return `${owners}: ${atWork}`
   }
 
-  private carry (from: string, to: string, report: LoadReport): void {
+  private deliver (from: string, to: string, report: LoadReport): void {
     this.bytes += reportCodec.encode(report).length
-    const { isUp, unread, hear } = this.at(to)
+    const { isUp, unread, receive } = this.at(to)
     if (!this.passes(from, to)) return
-    if (isUp) hear(report)
+    if (isUp) receive(report)
     else unread.push(report)
   }
 }
@@ -106,10 +106,10 @@
     const owners = new Owners('abc')
     owners.at('a').atWork = 4
     owners.run(200)
-    expect([owners.seen('b'), owners.seen('c'), owners.seen('a')]).toEqual(['1: 4', '1: 4', '0: 0'])
+    expect([owners.knownLoad('b'), owners.knownLoad('c'), owners.knownLoad('a')]).toEqual(['1: 4', '1: 4', '0: 0'])
     owners.at('a').atWork = 0
     owners.run(100)
-    expect(owners.seen('b')).toBe('1: 0')
+    expect(owners.knownLoad('b')).toBe('1: 0')
     const { bytes } = owners
     owners.run(1000)
     expect(owners.bytes).toBe(bytes)
@@ -119,9 +119,9 @@
     // Without reports, each host would use the whole endpoint after a power loss of all hosts.
     const owners = new Owners('abc')
     for (const name of 'abc') owners.at(name).atWork = 2
-    expect(owners.seen('a')).toBe('0: 0')
+    expect(owners.knownLoad('a')).toBe('0: 0')
     owners.run(100)
-    expect([...'abc'].map(name => owners.seen(name))).toEqual(['2: 4', '2: 4', '2: 4'])
+    expect([...'abc'].map(name => owners.knownLoad(name))).toEqual(['2: 4', '2: 4', '2: 4'])
   })
 
   it('drop the load of an owner that is silent', () => {
@@ -131,9 +131,9 @@
     owners.run(200)
     owners.at('a').isUp = false
     owners.run(200)
-    expect(owners.seen('b')).toBe('1: 4')
+    expect(owners.knownLoad('b')).toBe('1: 4')
     owners.run(100)
-    expect(owners.seen('b')).toBe('0: 0')
+    expect(owners.knownLoad('b')).toBe('0: 0')
   })
 
   it('accept reports of a restarted owner at once', () => {
@@ -143,7 +143,7 @@
     owners.start('a')
     owners.at('a').atWork = 1
     owners.run(100)
-    expect(owners.seen('b')).toBe('1: 1')
+    expect(owners.knownLoad('b')).toBe('1: 1')
   })
 
   it('that were suspended ignore the reports that arrived meanwhile', () => {
@@ -157,10 +157,10 @@
     owners.run(3000)
     owners.at('a').isUp = true
     owners.run(100)
-    expect(owners.seen('a')).toBe('0: 0')
+    expect(owners.knownLoad('a')).toBe('0: 0')
     owners.at('b').isUp = true
     owners.run(200)
-    expect(owners.seen('a')).toBe('1: 9')
+    expect(owners.knownLoad('a')).toBe('1: 9')
   })
 
   it('in two partitions know the owners of their own partition, and all owners after it heals', () => {
@@ -170,10 +170,10 @@
     owners.run(200)
     owners.passes = (from, to) => (from < 'c') === (to < 'c')
     owners.run(300)
-    expect([...'abcd'].map(name => owners.seen(name))).toEqual(['1: 1', '1: 1', '1: 1', '1: 1'])
+    expect([...'abcd'].map(name => owners.knownLoad(name))).toEqual(['1: 1', '1: 1', '1: 1', '1: 1'])
     owners.passes = () => true
     owners.run(100)
-    expect(owners.seen('a')).toBe('3: 3')
+    expect(owners.knownLoad('a')).toBe('3: 3')
   })
 
   it('ignore a host that no longer owns the group, though it still reports', () => {
@@ -183,17 +183,17 @@
     owners.run(200)
     owners.at('b').sharedLoad.setOwners([hostOf('c')])
     owners.run(100)
-    expect([owners.seen('b'), owners.seen('c')]).toEqual(['0: 0', '1: 4'])
+    expect([owners.knownLoad('b'), owners.knownLoad('c')]).toEqual(['0: 0', '1: 4'])
   })
 
   it.each([84, 300, 2000])('send a bounded number of bytes with %d hosts', count => {
     const hosts = Array.from({ length: count }, (_, i) => ({ ...hostOf(`h${i}`), dataCentre: `z${i % 3}` as DataCentreId, capacity: 0.05 }))
     const { owners } = Ownerships.of([{ id: G, connections: 150, places: { perEndpoint: 2, total: 60 } }], hosts, true, dataCentreAffinity).get(G)!
     expect(owners.length).toBe(18)
-    const made = new Owners('abcdefghijklmnopqrst'.slice(0, owners.length))
-    for (let i = 0; i < owners.length; i++) made.at('abcdefghijklmnopqrst'[i]!).atWork = 3
-    made.run(1000)
+    const started = new Owners('abcdefghijklmnopqrst'.slice(0, owners.length))
+    for (let i = 0; i < owners.length; i++) started.at('abcdefghijklmnopqrst'[i]!).atWork = 3
+    started.run(1000)
     // At most ten reports a second to eight owners, each of this length.
-    expect(made.bytes / owners.length).toBeLessThan(10 * 8 * '["a","g",0,10,[["e",3,0,null,0]]]'.length)
+    expect(started.bytes / owners.length).toBeLessThan(10 * 8 * '["a","g",0,10,[["e",3,0,null,0]]]'.length)
   })
 })
--- a/src/shell/pool/load/loadreporter.ts
+++ b/src/shell/pool/load/loadreporter.ts
@@ -53,9 +53,9 @@
   /** Must be called about as often as load is reported. */
   tick (): void {
     const { groups, age } = this.options
-    const stoodMs = age() - this.tickedAt
+    const suspendedMs = age() - this.tickedAt
     this.tickedAt = age()
-    this.isCatchingUp = stoodMs >= SUSPENDED_MS
+    this.isCatchingUp = suspendedMs >= SUSPENDED_MS
     for (const group of groups()) {
       if (group.sharedLoad.others.length === 0) continue
       if (this.isCatchingUp) group.sharedLoad.reset()
@@ -70,9 +70,9 @@
   }
 
   private report ({ id, loads, sharedLoad }: LoadedGroup): void {
-    const { self, incarnation: life, transport: way, now } = this.options
+    const { self, incarnation, transport, now } = this.options
     if (!sharedLoad.takeIfDue(loads, now())) return
-    way.send(sharedLoad.others, { incarnation: life, load: { host: self, group: id, sequence: ++this.number, endpoints: loads } })
+    transport.send(sharedLoad.others, { incarnation, load: { host: self, group: id, sequence: ++this.number, endpoints: loads } })
   }
 
   /**
--- a/src/shell/pool/load/loadsnapshotof.ts
+++ b/src/shell/pool/load/loadsnapshotof.ts
@@ -10,8 +10,8 @@
   const now = clock.now()
   return LoadSnapshot.of(host, [...groups].flatMap(group => {
     const { teams, rest } = group.usage.largest(LoadSnapshot.maxTeams, now)
-    const { id, endpointStats: seen, isOwned } = group
+    const { id, endpointStats, isOwned } = group
     if (!isOwned && teams.length === 0) return []
-    return [{ group: id, owners: isOwned ? 1 : 0, classes: [...group.usage.classes(now)], teams: [...teams], rest, endpoints: [...seen] }]
+    return [{ group: id, owners: isOwned ? 1 : 0, classes: [...group.usage.classes(now)], teams: [...teams], rest, endpoints: [...endpointStats] }]
   }))
 }
--- a/src/shell/pool/load/refusallog.test.ts
+++ b/src/shell/pool/load/refusallog.test.ts
@@ -10,7 +10,7 @@
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-function refusing (...refused: readonly number[]): LoadSnapshot {
+function refusingGroups (...refused: readonly number[]): LoadSnapshot {
   return LoadSnapshot.of('h', refused.map((count, i) => ({
     group: `g${i}`,
     owners: 1,
@@ -22,29 +22,29 @@
 }
 
 it.each<[string, LoadSnapshot, readonly string[]]>([
-  ['none refuses: no line', refusing(0, 0), []],
-  ['one refuses: its line', refusing(0, 4), ['g1']],
-  ['all of ten refuse: those that refuse most', refusing(1, 2, 3, 4, 5, 6, 7, 8, 9, 10), ['g9', 'g8', 'g7', 'g6', 'g5', 'g4', 'g3', 'g2']]
-])('in a period in which %s', (_name, picture, expected) => {
+  ['none refuses: no line', refusingGroups(0, 0), []],
+  ['one refuses: its line', refusingGroups(0, 4), ['g1']],
+  ['all of ten refuse: those that refuse most', refusingGroups(1, 2, 3, 4, 5, 6, 7, 8, 9, 10), ['g9', 'g8', 'g7', 'g6', 'g5', 'g4', 'g3', 'g2']]
+])('in a period in which %s', (_name, snapshot, expected) => {
   const lines: string[] = []
   const stop = new AbortController()
-  RefusalLog.start({ look: () => picture, log: Log.to(line => lines.push(line)) }, stop.signal)
+  RefusalLog.start({ look: () => snapshot, log: Log.to(line => lines.push(line)) }, stop.signal)
   vi.advanceTimersByTime(10_000)
   stop.abort()
   vi.advanceTimersByTime(60_000)
-  const told = lines.map(line => JSON.parse(line))
-  expect(told.map(({ group }) => group)).toEqual(expected)
-  for (const one of told) expect(one).toMatchObject({ event: 8041, done: 9, largest: expect.stringMatching(/^red 2 done \d+ refused, blue .*, t1 2 done \d+ refused$/) })
+  const logged = lines.map(line => JSON.parse(line))
+  expect(logged.map(({ group }) => group)).toEqual(expected)
+  for (const one of logged) expect(one).toMatchObject({ event: 8041, done: 9, largest: expect.stringMatching(/^red 2 done \d+ refused, blue .*, t1 2 done \d+ refused$/) })
 })
 
 it('metrics name three teams of a group, and none that asks no more', async () => {
   const { registry } = PoolMetrics.create()
-  let picture = refusing(4)
-  loadGauges(registry, () => picture)
+  let snapshot = refusingGroups(4)
+  loadGauges(registry, () => snapshot)
   const text = await registry.metrics()
   expect(text.match(/^agatepond_team_statements\{/gm)).toHaveLength(6)
   expect(text).toContain('agatepond_team_statements{group="g0",team="red",ending="refused"} 4')
   expect(text).toContain('agatepond_waiting{endpoint="e0",class="normal"} 3')
-  picture = LoadSnapshot.empty
+  snapshot = LoadSnapshot.empty
   expect(await registry.metrics()).not.toMatch(/^agatepond_(team_statements|waiting)\{/m)
 })
--- a/src/shell/pool/membership/configcopy.ts
+++ b/src/shell/pool/membership/configcopy.ts
@@ -60,10 +60,10 @@
   async read (): Promise<CopiedRows | undefined> {
     const rows = await this.prefetched ?? []
     this.prefetched = undefined
-    const head = parsed(headShape, rows.find(({ key }) => key === HEAD))
-    const parts = rows.filter(({ key }) => key.startsWith(PART)).sort((a, b) => indexOf(a) - indexOf(b)).flatMap(row => parsed(partShape, row) ?? []).filter(({ of }) => of === head?.of)
+    const head = parseRow(headShape, rows.find(({ key }) => key === HEAD))
+    const parts = rows.filter(({ key }) => key.startsWith(PART)).sort((a, b) => partIndex(a) - partIndex(b)).flatMap(row => parseRow(partShape, row) ?? []).filter(({ of }) => of === head?.of)
     if (head === undefined || parts.length !== head.parts) return undefined
-    const decoded = rowsShape.safeParse(readJson(unpack(parts.map(({ text }) => text).join(''))))
+    const decoded = rowsShape.safeParse(readJson(decompress(parts.map(({ text }) => text).join(''))))
     return decoded.success ? { rows: decoded.data, version: head.version } : undefined
   }
 
@@ -95,17 +95,17 @@
   return count > MAX_PARTS ? [] : Array.from({ length: count }, (_, i) => packed.slice(i * PART_CHARACTERS, (i + 1) * PART_CHARACTERS))
 }
 
-function parsed<T> (shape: z.ZodType<T>, row: Row | undefined): T | undefined {
+function parseRow<T> (shape: z.ZodType<T>, row: Row | undefined): T | undefined {
   const result = shape.safeParse(readJson(row?.value ?? ''))
   return result.success ? result.data : undefined
 }
 
-function indexOf ({ key }: Row): number {
+function partIndex ({ key }: Row): number {
   return Number(key.slice(PART.length))
 }
 
 /** Returns an empty string for invalid data, so that the copy isn't used. */
-function unpack (text: string): string {
+function decompress (text: string): string {
   try {
     return inflateRawSync(Buffer.from(text, 'base64')).toString('utf8')
   } catch {
--- a/src/shell/pool/membership/endpointlisting.ts
+++ b/src/shell/pool/membership/endpointlisting.ts
@@ -60,8 +60,8 @@
       return this.remove(id)
     }
     const old = this.current.get(id)
-    const isNews = old === undefined || old.isLeaving !== endpoint.isLeaving || old.isPrimary !== endpoint.isPrimary || old.startedAtMs !== endpoint.startedAtMs
-    if (isNews) log.write('endpointListed', { endpoint: id, group: endpoint.group, isLeaving: endpoint.isLeaving, isPrimary: endpoint.isPrimary, version })
+    const isChanged = old === undefined || old.isLeaving !== endpoint.isLeaving || old.isPrimary !== endpoint.isPrimary || old.startedAtMs !== endpoint.startedAtMs
+    if (isChanged) log.write('endpointListed', { endpoint: id, group: endpoint.group, isLeaving: endpoint.isLeaving, isPrimary: endpoint.isPrimary, version })
     this.lapses = this.lapses.without(id)
     this.current = this.current.with(endpoint, version)
   }
--- a/src/shell/pool/membership/messagecodec.ts
+++ b/src/shell/pool/membership/messagecodec.ts
@@ -22,7 +22,7 @@
   incarnation: z.int(),
   isLeaving: z.boolean()
 })
-const word = z.discriminatedUnion('kind', [
+const messageShape = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('follow'), self: entry, versions }),
   z.object({ kind: z.literal('alive') }),
   z.object({ kind: z.literal('rows'), table: z.enum(tableNames), isWhole: z.boolean(), rows: z.array(row), version: z.number() }),
@@ -36,25 +36,25 @@
 
 export const messageCodec = {
   /** The line of a message, including the line feed. */
-  encode (said: SyncMessage): string {
-    const known = encoded.get(said)
+  encode (message: SyncMessage): string {
+    const known = encoded.get(message)
     if (known !== undefined) return known
-    const text = JSON.stringify(said)
+    const text = JSON.stringify(message)
     const line = text.length < COMPRESS_FROM_CHARACTERS ? `${text}\n` : `${JSON.stringify({ packed: deflateRawSync(text).toString('base64') })}\n`
-    encoded.set(said, line)
+    encoded.set(message, line)
     return line
   },
 
   /** Undefined for a line that isn't a valid message. */
   decode (line: string): SyncMessage | undefined {
     const json = readJson(line)
-    const long = packed.safeParse(json)
-    const parsed = word.safeParse(long.success ? readJson(unpack(long.data.packed)) : json)
+    const compressed = packed.safeParse(json)
+    const parsed = messageShape.safeParse(compressed.success ? readJson(decompress(compressed.data.packed)) : json)
     return parsed.success ? parsed.data : undefined
   }
 }
 
-function unpack (text: string): string {
+function decompress (text: string): string {
   try {
     return inflateRawSync(Buffer.from(text, 'base64')).toString('utf8')
   } catch {
--- a/src/shell/pool/membership/messagelink.ts
+++ b/src/shell/pool/membership/messagelink.ts
@@ -8,7 +8,7 @@
 
 interface Listeners {
   readonly onOpen?: () => void
-  readonly onMessage: (word: SyncMessage) => void
+  readonly onMessage: (message: SyncMessage) => void
   /** Called once when the connection ends, but not after `close`. */
   readonly onEnd: () => void
 }
@@ -39,8 +39,8 @@
     return new MessageLink(socket, listeners)
   }
 
-  send (word: SyncMessage): void {
-    if (!this.isEnded) this.socket.write(messageCodec.encode(word))
+  send (message: SyncMessage): void {
+    if (!this.isEnded) this.socket.write(messageCodec.encode(message))
   }
 
   close (): void {
@@ -53,10 +53,10 @@
     this.rest = lines.pop()!
     for (const line of lines) {
       if (this.isEnded) return
-      const word = messageCodec.decode(line)
+      const message = messageCodec.decode(line)
       // An invalid line may have contained rows, so the link must be opened again.
-      if (word === undefined) return this.end()
-      this.listeners.onMessage(word)
+      if (message === undefined) return this.end()
+      this.listeners.onMessage(message)
     }
     if (this.rest.length > MAX_LINE_CHARACTERS) this.end()
   }
--- a/src/shell/pool/membership/tablereplicator.ts
+++ b/src/shell/pool/membership/tablereplicator.ts
@@ -44,8 +44,8 @@
   readonly onReady: () => void
 }
 
-type Ask = Extract<SyncAction, { kind: 'ask' }>
-type Write = Extract<SyncAction, { kind: 'write' }>
+type AskAction = Extract<SyncAction, { kind: 'ask' }>
+type WriteAction = Extract<SyncAction, { kind: 'write' }>
 
 /** A fifth of the shortest time after which a host counts as silent. */
 const TICK_MS = 100
@@ -64,7 +64,7 @@
   private isStepping = false
   private wasReady = false
   private readonly failing = new Set<TableName>()
-  private why: Ask['why'] | 'others' = 'others'
+  private why: AskAction['why'] | 'others' = 'others'
   /** Wakes calls that wait for newer rows from another host. */
   private readonly waiting = Waiters.create()
 
@@ -82,17 +82,17 @@
 
   /** Runs until the signal. */
   static start (options: Options, signal: AbortSignal): TableReplicator {
-    const tables = new TableReplicator(options, signal)
-    tables.listen()
-    const timer = setInterval(() => tables.step({ kind: 'tick' }), TICK_MS)
+    const replicator = new TableReplicator(options, signal)
+    replicator.listen()
+    const timer = setInterval(() => replicator.step({ kind: 'tick' }), TICK_MS)
     signal.addEventListener('abort', () => {
       clearInterval(timer)
-      for (const link of [...tables.sources.values(), ...tables.followers.values()]) link.close()
+      for (const link of [...replicator.sources.values(), ...replicator.followers.values()]) link.close()
     })
     // At the first start of the whole system there is no copy yet.
-    if (!options.isFirstStart) tables.configCopy.prefetch(signal)
-    tables.step({ kind: 'tick' })
-    return tables
+    if (!options.isFirstStart) replicator.configCopy.prefetch(signal)
+    replicator.step({ kind: 'tick' })
+    return replicator
   }
 
   /** The live hosts, including this one, ordered by id. */
@@ -146,13 +146,13 @@
   }
 
   private act (action: SyncAction): void {
-    const { log, onRows: onNews, onHostsChange: onHosts } = this.options
+    const { log, onRows, onHostsChange } = this.options
     switch (action.kind) {
       case 'news': {
-        onNews(action.table, action.rows, action.isFirst)
+        onRows(action.table, action.rows, action.isFirst)
         return this.waiting.wake()
       }
-      case 'hosts': return onHosts()
+      case 'hosts': return onHostsChange()
       case 'ask': {
         this.ask(action)
         return
@@ -181,17 +181,17 @@
     }
   }
 
-  private async ask ({ table, after, waitMs, why }: Ask): Promise<void> {
+  private async ask ({ table, after, waitMs, why }: AskAction): Promise<void> {
     const { store, names, metrics, log } = this.options
     if (why !== this.why) log.write('storeAsked', { why, before: this.why })
     this.why = why
-    const askedAt = clock.age()
+    const sentAt = clock.age()
     const copied = table === 'config' && after === undefined ? await this.readCopy() : undefined
-    if (copied !== undefined) return this.step({ kind: 'answered', table, isWhole: true, sentAt: askedAt, ...copied })
+    if (copied !== undefined) return this.step({ kind: 'answered', table, isWhole: true, sentAt, ...copied })
     metrics.storeCalls.inc({ call: after === undefined ? 'read' : 'changes', table, why })
     const answer = after === undefined ? await store.read(names[table], this.signal) : await store.changes(names[table], after, waitMs, this.signal)
     this.recordOutcome(table, answer.isErr() && answer.error !== 'forgotten')
-    if (answer.isOk()) return this.step({ kind: 'answered', table, isWhole: after === undefined, sentAt: askedAt, ...answer.value })
+    if (answer.isOk()) return this.step({ kind: 'answered', table, isWhole: after === undefined, sentAt, ...answer.value })
     this.step({ kind: answer.error === 'forgotten' ? 'forgotten' : 'failed', table })
   }
 
@@ -219,19 +219,19 @@
     log.write(isFailed ? 'storeFailed' : 'storeBack', { table })
   }
 
-  private async write ({ value, deletedKeys: erased }: Write): Promise<void> {
+  private async write ({ value, deletedKeys }: WriteAction): Promise<void> {
     const { store, names, self, metrics } = this.options
     metrics.storeCalls.inc({ call: 'write', table: 'roll', why: 'roll' })
     const own = { table: names.roll, key: registryRow.keyOf(self.id), value }
-    const written = await store.change([own, ...erased.map(key => ({ table: names.roll, key, value: undefined }))], this.signal)
+    const written = await store.change([own, ...deletedKeys.map(key => ({ table: names.roll, key, value: undefined }))], this.signal)
     this.step({ kind: 'written', isDone: written.isOk() })
   }
 
   private open (link: LinkId): void {
     const opened = MessageLink.dial(link, {
       onOpen: () => this.step({ kind: 'opened', link }),
-      onMessage: word => {
-        if (word.kind === 'rows' || word.kind === 'beat' || word.kind === 'welcome') this.step({ kind: 'told', link, message: word })
+      onMessage: message => {
+        if (message.kind === 'rows' || message.kind === 'beat' || message.kind === 'welcome') this.step({ kind: 'told', link, message })
       },
       onEnd: () => {
         this.sources.delete(link)
@@ -247,8 +247,8 @@
     const server = createServer(socket => {
       const link = ++this.links
       this.followers.set(link, MessageLink.of(socket, {
-        onMessage: word => {
-          if (word.kind === 'follow' || word.kind === 'alive') this.step({ kind: 'spoke', link, message: word })
+        onMessage: message => {
+          if (message.kind === 'follow' || message.kind === 'alive') this.step({ kind: 'spoke', link, message })
         },
         onEnd: () => {
           this.followers.delete(link)
--- a/src/shell/pool/node.ts
+++ b/src/shell/pool/node.ts
@@ -139,10 +139,10 @@
    */
   private async catchUpConfig (version: number, host: string): Promise<void> {
     if (version <= this.config.version) return
-    const passing = this.hosts.find(({ id }) => id === host)
-    if (passing === undefined) return
+    const forwarder = this.hosts.find(({ id }) => id === host)
+    if (forwarder === undefined) return
     const until = clock.now() + CATCH_UP_MS
-    for (let left = CATCH_UP_MS; version > this.config.version && left > 0; left = until - clock.now()) await this.tableReplicator.consult(passing, left)
+    for (let left = CATCH_UP_MS; version > this.config.version && left > 0; left = until - clock.now()) await this.tableReplicator.consult(forwarder, left)
   }
 
   private async whenReady (ms: number): Promise<boolean> {
@@ -166,12 +166,12 @@
       this.groups.tick()
       this.reporter?.tick()
     }, TICK_MS)
-    const appointing = setInterval(() => {
+    const issuerTimer = setInterval(() => {
       if (this.isReady && this.tableReplicator.isKnown && this.config.teams?.some(({ rate }) => rate !== undefined) === true) this.allowanceService?.tick()
     }, ISSUER_CHECK_MS)
     this.signal.addEventListener('abort', () => {
       clearInterval(timer)
-      clearInterval(appointing)
+      clearInterval(issuerTimer)
     })
   }
 
@@ -231,8 +231,8 @@
     this.wakeIfReady()
   }
 
-  private createReporter (way: LoadTransport): LoadReporter {
+  private createReporter (transport: LoadTransport): LoadReporter {
     const { self, log, metrics } = this.options
-    return LoadReporter.create({ self: self.id, incarnation: Date.now(), transport: way, groups: () => this.groups.all, group: id => this.groups.get(id), now: clock.now, age: clock.age, log, metrics })
+    return LoadReporter.create({ self: self.id, incarnation: Date.now(), transport, groups: () => this.groups.all, group: id => this.groups.get(id), now: clock.now, age: clock.age, log, metrics })
   }
 }
--- a/src/shell/pool/readrouter.ts
+++ b/src/shell/pool/readrouter.ts
@@ -35,7 +35,7 @@
   /** Whether the group has assigned owners and this host is one. */
   readonly isShared: boolean
   readonly standing: (id: EndpointId) => LogState
-  readonly lender: (id: EndpointId) => ConnectionPool | undefined
+  readonly connectionPool: (id: EndpointId) => ConnectionPool | undefined
   readonly isReachable: (id: EndpointId) => boolean
 }
 
@@ -77,8 +77,8 @@
       ...view,
       dataCentre: this.options.dataCentre,
       leftMs,
-      queued: (id: EndpointId) => view.lender(id)?.queued ?? 0,
-      needsNewConnection: (id: EndpointId) => team !== undefined && view.lender(id)?.hasIdle(team) !== true,
+      queued: (id: EndpointId) => view.connectionPool(id)?.queued ?? 0,
+      needsNewConnection: (id: EndpointId) => team !== undefined && view.connectionPool(id)?.hasIdle(team) !== true,
       mayContain: (id: EndpointId) => view.standing(id).mayContain(position, now)
     }
     if (!view.isShared || !ReadBalancer.isSupported(view.endpoints)) {
@@ -86,9 +86,9 @@
       return endpoint === undefined ? undefined : { endpoint, waitMs: 0 }
     }
     this.checkHealth(view, now)
-    const placed = this.shared.place(all, position, tried, { now, age: clock.age() }, this.options.chance)
-    if (placed !== undefined) this.options.metrics.readsPlaced.inc({ at: placed.endpoint === view.primary ? 'primary' : placed.waitMs > 0 ? 'replica awaited' : 'replica' })
-    return placed
+    const placement = this.shared.place(all, position, tried, { now, age: clock.age() }, this.options.chance)
+    if (placement !== undefined) this.options.metrics.readsPlaced.inc({ at: placement.endpoint === view.primary ? 'primary' : placement.waitMs > 0 ? 'replica awaited' : 'replica' })
+    return placement
   }
 
   /** Sets the source of the other owners' load. */
@@ -133,9 +133,9 @@
 
   private checkHealth (view: View, now: Instant): void {
     const { id: group, log, metrics } = this.options
-    for (const { id, isEjected: isAside, failing, answerMs } of this.shared.evaluateHealth(view, now)) {
-      metrics.asides.inc({ change: isAside ? 'aside' : 'back' })
-      log.write(isAside ? 'endpointAside' : 'endpointBack', { endpoint: id, group, failing: Number(failing.toFixed(2)), answerMs: Math.round(answerMs ?? -1) })
+    for (const { id, isEjected, failing, answerMs } of this.shared.evaluateHealth(view, now)) {
+      metrics.asides.inc({ change: isEjected ? 'aside' : 'back' })
+      log.write(isEjected ? 'endpointAside' : 'endpointBack', { endpoint: id, group, failing: Number(failing.toFixed(2)), answerMs: Math.round(answerMs ?? -1) })
     }
   }
 }
--- a/src/shell/pool/statements/explanation.ts
+++ b/src/shell/pool/statements/explanation.ts
@@ -62,14 +62,14 @@
 
 function logStatement (ctx: PoolContext, explained: Explained, ms: number, met: Congestion | undefined): void {
   const { id, kind, database, reply, trail, cause } = explained
-  const { log, lineBudget: lines, metrics } = ctx
+  const { log, lineBudget, metrics } = ctx
   const outcome = reply.kind === 'done' ? 'done' : reply.fault
   metrics.statements.inc({ database, kind, outcome })
   if (reply.kind === 'refused') metrics.refusals.inc({ cause: cause ?? reply.fault, class: classOf(ctx, explained) })
   if (trail.count > 0) metrics.statementSeconds.observe({ kind }, ms / 1000)
   const isPlain = outcome === 'done' && trail.count < 2
-  if (isPlain && !lines.isSampled(id)) return
-  const { isGranted, dropped } = lines.acquire(clock.now())
+  if (isPlain && !lineBudget.isSampled(id)) return
+  const { isGranted, dropped } = lineBudget.acquire(clock.now())
   if (!isGranted) return metrics.linesDropped.inc()
   if (dropped > 0) log.write('linesDropped', { dropped })
   log.write(outcome === 'done' ? 'statementDone' : 'statementRefused', {
@@ -93,7 +93,7 @@
 }
 
 /** The state that the decisions on the statement were based on. */
-function knowledge (ctx: PoolContext, { database, trail, transaction, newestCommit: own, retryAfterMs }: Explained): Readonly<Record<string, string | number>> {
+function knowledge (ctx: PoolContext, { database, trail, transaction, newestCommit, retryAfterMs }: Explained): Readonly<Record<string, string | number>> {
   const config = ctx.config()
   const route = transaction?.route ?? config.route(database)
   const group = route === undefined ? undefined : ctx.group(route.group)
@@ -103,7 +103,7 @@
     freshness: freshness?.kind === 'age' ? `${freshness.ms} ms` : freshness?.kind ?? 'none',
     tries: trail.toString(),
     transaction: transaction?.id ?? 'none',
-    own: own.toString(),
+    own: newestCommit.toString(),
     leader: group?.leader ?? 'none',
     leaderlessMs: Math.round(group?.leaderlessMs() ?? 0),
     markAgeMs: Math.round(group?.markAgeMs() ?? -1),
--- a/src/shell/pool/statements/operation.ts
+++ b/src/shell/pool/statements/operation.ts
@@ -20,11 +20,11 @@
   /** Whether only the primary may run it. */
   readonly mustLead: boolean
   /** Whether another host may run it. */
-  readonly mayDetour: boolean
+  readonly mayForward: boolean
   /** Whether it's the first statement of a caller's transaction. */
   readonly isInTransaction: boolean
   /** Position of the session's newest commit, and the session values. */
-  readonly own: Token
+  readonly newestCommit: Token
   readonly values: SessionState
   /** The caller's key; undefined without one. */
   readonly key: KeyDigest | undefined
--- a/src/shell/pool/statements/receipt.ts
+++ b/src/shell/pool/statements/receipt.ts
@@ -38,10 +38,10 @@
 }
 
 async function statusOf ({ group, successor, database, team, deadline }: Options) {
-  const lender = group.connectionPool(successor)
-  const borrowed = await lender?.borrow({ rank: HIGHEST_RANK, caller: team ?? database, team, leftMs: left(deadline), isTransaction: false, values: SessionState.empty() })
-  if (lender === undefined || borrowed?.isOk() !== true) return undefined
-  const attempt = Attempt.on(group, lender, borrowed.value)
+  const pool = group.connectionPool(successor)
+  const borrowed = await pool?.borrow({ rank: HIGHEST_RANK, caller: team ?? database, team, leftMs: left(deadline), isTransaction: false, values: SessionState.empty() })
+  if (pool === undefined || borrowed?.isOk() !== true) return undefined
+  const attempt = Attempt.on(group, pool, borrowed.value)
   const answer = await attempt.ask([{ kind: 'status' }], 0, left(deadline), false)
   attempt.release()
   return typeof answer === 'string' ? undefined : answer.status
--- a/src/shell/pool/statements/retrywaits.ts
+++ b/src/shell/pool/statements/retrywaits.ts
@@ -21,45 +21,45 @@
 type Pause = 'forRoom' | 'forReach' | 'forBudget'
 
 export class RetryWaits {
-  private looks = 0
+  private timesWaited = 0
   private pauses = 0
-  private leave: (() => void) | undefined
+  private stopCounting: (() => void) | undefined
 
-  private constructor (private readonly group: PoolGroup, private readonly tries: Operation, private readonly metrics: PoolMetrics) {}
+  private constructor (private readonly group: PoolGroup, private readonly operation: Operation, private readonly metrics: PoolMetrics) {}
 
-  static of (group: PoolGroup, tries: Operation, metrics: PoolMetrics): RetryWaits {
-    return new RetryWaits(group, tries, metrics)
+  static of (group: PoolGroup, operation: Operation, metrics: PoolMetrics): RetryWaits {
+    return new RetryWaits(group, operation, metrics)
   }
 
   /** Whether the caller no longer waits for the answer, so that nothing more is sent. */
   get isDropped (): boolean {
-    return this.group.retryPolicy.isAbandoned(this.tries.gone.aborted)
+    return this.group.retryPolicy.isAbandoned(this.operation.gone.aborted)
   }
 
   /** Signal that cancels the wait for a connection; undefined where waits aren't cancelled. */
   get gone (): AbortSignal | undefined {
-    return this.group.retryPolicy.isAbandoned(true) ? this.tries.gone : undefined
+    return this.group.retryPolicy.isAbandoned(true) ? this.operation.gone : undefined
   }
 
   /** Must be called when the operation has ended. */
   end (): void {
-    this.leave?.()
-    this.leave = undefined
+    this.stopCounting?.()
+    this.stopCounting = undefined
   }
 
   /** Waits until a primary is reachable, or is known to come too late. */
   async forLeader (): Promise<WaitResult> {
-    const { group, tries: { deadline, route }, looks } = this
+    const { group, operation: { deadline, route }, timesWaited } = this
     const { outage, serviceMs, connections, missingMs } = group
     const expectedMs = outage.expectedMs()
-    const waiting = outage.waiting - (this.leave === undefined ? 0 : 1)
-    const step = group.retryPolicy.forLeader({
-      remainingMs: left(deadline), serviceMs, statementTimeoutMs: route.statementTimeoutMs, leaderlessMs: missingMs, expectedMs, rank: route.rank, timesWaited: looks, waiting, connections
+    const waiting = outage.waiting - (this.stopCounting === undefined ? 0 : 1)
+    const decision = group.retryPolicy.forLeader({
+      remainingMs: left(deadline), serviceMs, statementTimeoutMs: route.statementTimeoutMs, leaderlessMs: missingMs, expectedMs, rank: route.rank, timesWaited, waiting, connections
     })
-    this.looks++
-    if (step.kind === 'wait') this.leave ??= outage.addWaiting()
-    if (looks > 0 && (step.kind === 'wait' || expectedMs === undefined)) outage.logWait(expectedMs)
-    return await this.take('forLeader', step, async ms => await outage.wait(ms, this.gone))
+    this.timesWaited++
+    if (decision.kind === 'wait') this.stopCounting ??= outage.addWaiting()
+    if (timesWaited > 0 && (decision.kind === 'wait' || expectedMs === undefined)) outage.logWait(expectedMs)
+    return await this.perform('forLeader', decision, async ms => await outage.wait(ms, this.gone))
   }
 
   /** Waits until an endpoint that was full may have room. */
@@ -75,24 +75,24 @@
   /** Waits until the host's retry budget allows another try. */
   async forBudget (mayRetry: () => boolean): Promise<WaitResult> {
     for (;;) {
-      const way = await this.pause('forBudget')
-      if (typeof way !== 'string' || this.isDropped || mayRetry()) return way
+      const result = await this.pause('forBudget')
+      if (typeof result !== 'string' || this.isDropped || mayRetry()) return result
     }
   }
 
   private async pause (what: Pause): Promise<WaitResult> {
-    const { group, gone, tries: { deadline }, pauses } = this
-    const lack: Parameters<RetryPolicy['forRoom']>[0] = { remainingMs: left(deadline), serviceMs: group.serviceMs, pauses, chance: group.chance() }
+    const { group, gone, operation: { deadline }, pauses } = this
+    const need: Parameters<RetryPolicy['forRoom']>[0] = { remainingMs: left(deadline), serviceMs: group.serviceMs, pauses, chance: group.chance() }
     this.pauses++
     const waiters = what === 'forReach' ? group.outage : Waiters.create()
-    return await this.take(what, group.retryPolicy[what](lack), async ms => await waiters.wait(ms, gone))
+    return await this.perform(what, group.retryPolicy[what](need), async ms => await waiters.wait(ms, gone))
   }
 
-  private async take (what: string, step: RetryDecision, wait: (ms: number) => Promise<void>): Promise<WaitResult> {
-    if (step.kind === 'refuse') return { cause: step.cause, retryAfterMs: step.retryAfterMs }
-    if (step.kind === 'go') return 'go'
+  private async perform (what: string, decision: RetryDecision, wait: (ms: number) => Promise<void>): Promise<WaitResult> {
+    if (decision.kind === 'refuse') return { cause: decision.cause, retryAfterMs: decision.retryAfterMs }
+    if (decision.kind === 'go') return 'go'
     this.metrics.waits.inc({ what })
-    await wait(step.ms)
-    return step.areRefusalsReset ? 'anew' : 'again'
+    await wait(decision.ms)
+    return decision.areRefusalsReset ? 'anew' : 'again'
   }
 }
--- a/src/shell/pool/statements/session.ts
+++ b/src/shell/pool/statements/session.ts
@@ -45,8 +45,8 @@
   private readonly gone = new AbortController()
 
   private constructor (private readonly ctx: PoolContext, private readonly options: Options) {
-    const { database, key, mayForward: mayDetour } = options
-    this.runner = StatementRunner.create(ctx, database, this.values, key, mayDetour, this.gone.signal)
+    const { database, key, mayForward } = options
+    this.runner = StatementRunner.create(ctx, database, this.values, key, mayForward, this.gone.signal)
   }
 
   /** Undefined if the database doesn't exist. */
@@ -73,11 +73,11 @@
     this.cause = undefined
     const reply = await this.answer(id, statement)
     this.isRunning = false
-    const told = this.recordReply(id, statement.kind, reply, transaction)
+    const recordedReply = this.recordReply(id, statement.kind, reply, transaction)
     this.afterRun?.()
     this.afterRun = undefined
     if (this.transaction?.attempt !== undefined) this.watchIdle()
-    return told
+    return recordedReply
   }
 
   /** Refuses input that isn't a statement. */
@@ -208,8 +208,8 @@
   /** Records the reply and adds the id of its audit record to a refusal. `transaction`: the one that was open before the statement. */
   private recordReply (id: string, kind: Statement['kind'] | 'none', reply: Reply, transaction = this.transaction): Reply {
     const { ctx, id: session, database, options: { caller }, trail, retryAfterMs, cause } = this
-    const { newestCommit: own } = this.runner
-    const record = explain(ctx, { id, session, caller, kind, database, reply, trail, transaction, newestCommit: own, retryAfterMs, cause })
+    const { newestCommit } = this.runner
+    const record = explain(ctx, { id, session, caller, kind, database, reply, trail, transaction, newestCommit, retryAfterMs, cause })
     if (reply.kind === 'done' || record === undefined) return reply
     return { ...reply, message: `${reply.message} (request ${record})` }
   }
--- a/src/shell/pool/statements/statementrunner.ts
+++ b/src/shell/pool/statements/statementrunner.ts
@@ -53,9 +53,9 @@
     return await tryAll(this.ctx, { ...this.common(route, work, deadline, trail), mustLead, isInTransaction: false, run })
   }
 
-  private common (route: Route, work: EndpointStatement, deadline: Instant, trail: TryHistory): Pick<Operation, 'route' | 'database' | 'what' | 'deadline' | 'own' | 'values' | 'key' | 'mayDetour' | 'gone' | 'trail'> {
-    const { database, newestCommit: own, values, key, mayForward: mayDetour, gone } = this
-    return { route, database, what: work.what, deadline, own, values, key, mayDetour, gone, trail }
+  private common (route: Route, work: EndpointStatement, deadline: Instant, trail: TryHistory): Pick<Operation, 'route' | 'database' | 'what' | 'deadline' | 'newestCommit' | 'values' | 'key' | 'mayForward' | 'gone' | 'trail'> {
+    const { database, newestCommit, values, key, mayForward, gone } = this
+    return { route, database, what: work.what, deadline, newestCommit, values, key, mayForward, gone, trail }
   }
 
   private readsAtPrimary ({ freshness }: Route): boolean {
--- a/src/shell/pool/statements/target.ts
+++ b/src/shell/pool/statements/target.ts
@@ -25,17 +25,17 @@
 }
 
 /** Resolves with undefined if the primary is needed and unreachable. Waits only for a replica that will soon have the position that the read requires. */
-export async function nextTarget (group: PoolGroup, { mustLead, freshness, newestCommit: own, team, mayForward: mayDetour, tried, leftMs }: TargetOptions): Promise<Target | undefined> {
+export async function nextTarget (group: PoolGroup, { mustLead, freshness, newestCommit, team, mayForward, tried, leftMs }: TargetOptions): Promise<Target | undefined> {
   if (!mustLead && freshness.kind === 'age') {
-    const after = group.requiredPosition(own, freshness.ms)
-    const placed = after === undefined ? undefined : group.readRouter.place({ position: after, team, tried, leftMs })
-    if (placed !== undefined) {
-      if (placed.waitMs > 0) await pause(placed.waitMs)
-      return { endpoint: placed.endpoint, after, mustLead: false }
+    const after = group.requiredPosition(newestCommit, freshness.ms)
+    const placement = after === undefined ? undefined : group.readRouter.place({ position: after, team, tried, leftMs })
+    if (placement !== undefined) {
+      if (placement.waitMs > 0) await pause(placement.waitMs)
+      return { endpoint: placement.endpoint, after, mustLead: false }
     }
   }
   // An unreachable primary isn't tried, since the request would time out there.
-  if (group.isLeaderUnreachable()) return mayDetour ? forwardedTarget(group) : undefined
+  if (group.isLeaderUnreachable()) return mayForward ? forwardedTarget(group) : undefined
   return group.leader === undefined ? undefined : { endpoint: group.leader, after: undefined, mustLead: true }
 }
 
--- a/src/shell/pool/statements/transaction.ts
+++ b/src/shell/pool/statements/transaction.ts
@@ -7,7 +7,7 @@
 
 /** `aborted`: rolled back by this process; the caller learns of it with its next statement. */
 export class Transaction {
-  private held: Attempt | undefined
+  private heldAttempt: Attempt | undefined
   private wasWritten = false
   private now: State = 'open'
 
@@ -23,7 +23,7 @@
   }
 
   get attempt (): Attempt | undefined {
-    return this.held
+    return this.heldAttempt
   }
 
   /** Whether a write was sent in it. */
@@ -37,7 +37,7 @@
   }
 
   recordRun (attempt: Attempt, what: 'read' | 'write' | 'commit'): void {
-    this.held = attempt
+    this.heldAttempt = attempt
     if (what === 'write') this.wasWritten = true
   }
 
@@ -53,7 +53,7 @@
 
   /** Returns the connection, after a rollback if needed. */
   release (): void {
-    this.held?.release()
-    this.held = undefined
+    this.heldAttempt?.release()
+    this.heldAttempt = undefined
   }
 }
--- a/src/shell/pool/statements/tryall.ts
+++ b/src/shell/pool/statements/tryall.ts
@@ -34,38 +34,38 @@
 const LEADERLESS_RETRY_MS = 500
 
 /** Resolves before the operation's deadline; never rejects. */
-export async function tryAll (ctx: PoolContext, tries: Operation): Promise<Run> {
-  const gate = Gate.open(ctx, tries.route, tries.key)
+export async function tryAll (ctx: PoolContext, operation: Operation): Promise<Run> {
+  const gate = Gate.open(ctx, operation.route, operation.key)
   if (!(gate instanceof Gate)) return gate
-  const run = await tryEach(ctx, tries, gate)
+  const run = await tryEach(ctx, operation, gate)
   gate.close()
   return run
 }
 
-async function tryEach (ctx: PoolContext, tries: Operation, gate: Gate): Promise<Run> {
-  const group = ctx.group(tries.route.group)
+async function tryEach (ctx: PoolContext, operation: Operation, gate: Gate): Promise<Run> {
+  const group = ctx.group(operation.route.group)
   if (group === undefined) return { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS }
-  const waits = RetryWaits.of(group, tries, ctx.metrics)
-  const run = await tryInTurn(ctx, group, tries, gate, waits)
+  const waits = RetryWaits.of(group, operation, ctx.metrics)
+  const run = await tryInTurn(ctx, group, operation, gate, waits)
   waits.end()
   return run
 }
 
-async function tryInTurn (ctx: PoolContext, group: PoolGroup, tries: Operation, gate: Gate, waits: RetryWaits): Promise<Run> {
-  const { route: { freshness }, mustLead, deadline, own, mayDetour } = tries
+async function tryInTurn (ctx: PoolContext, group: PoolGroup, operation: Operation, gate: Gate, waits: RetryWaits): Promise<Run> {
+  const { route: { freshness }, mustLead, deadline, newestCommit, mayForward } = operation
   let last: Refusal = { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS }
   const tried = new Set<EndpointId>()
   const full = new Set<EndpointId>()
   for (let count = 0; count < group.retryPolicy.maxTries(group.endpoints.length) && left(deadline) > 0;) {
     if (waits.isDropped) return { ...last, cause: 'left' }
-    const target = await nextTarget(group, { mustLead, freshness, newestCommit: own, team: gate.team?.id, mayForward: mayDetour, tried, leftMs: left(deadline) })
-    const way = await waitForTarget(target, full, waits)
-    if (typeof way !== 'string') return { ...last, ...way }
-    if (way === 'anew') clearAll(tried, full)
-    if (target === undefined || way !== 'go') continue
+    const target = await nextTarget(group, { mustLead, freshness, newestCommit, team: gate.team?.id, mayForward, tried, leftMs: left(deadline) })
+    const waited = await waitForTarget(target, full, waits)
+    if (typeof waited !== 'string') return { ...last, ...waited }
+    if (waited === 'anew') clearAll(tried, full)
+    if (target === undefined || waited !== 'go') continue
     count++
     tried.add(target.endpoint)
-    const once = await tryOnce(ctx, group, target, tries, gate, waits)
+    const once = await tryOnce(ctx, group, target, operation, gate, waits)
     if (once.kind === 'done') return once.run
     // A read that failed at one endpoint stays `failed`, even if the next endpoint has no room.
     if (last.fault !== 'failed') last = once.refused
@@ -97,16 +97,16 @@
  * Closes the connection of a read once its endpoint is known to be unreachable, so that another endpoint can serve it. A single
  * write keeps waiting, since only its answer shows whether it ran.
  */
-async function tryOnce (ctx: PoolContext, group: PoolGroup, target: Target, tries: Operation, gate: Gate, waits: RetryWaits): Promise<AttemptResult> {
+async function tryOnce (ctx: PoolContext, group: PoolGroup, target: Target, operation: Operation, gate: Gate, waits: RetryWaits): Promise<AttemptResult> {
   const began = clock.now()
   const { after, mustLead } = target
   const endpoint = target.via === undefined ? target.endpoint : ForwardedSource.by(target.via).endpoint.id
-  const note = (ending: string, position?: Token) => recordTry(ctx, tries.trail, {
-    endpoint, after, mustLead, what: tries.what, isInTransaction: tries.isInTransaction, hasWritten: false, ending, position, ms: clock.now() - began
+  const note = (ending: string, position?: Token) => recordTry(ctx, operation.trail, {
+    endpoint, after, mustLead, what: operation.what, isInTransaction: operation.isInTransaction, hasWritten: false, ending, position, ms: clock.now() - began
   })
-  const refused = target.via === undefined ? await fetchToken(gate, tries) : undefined
+  const refused = target.via === undefined ? await fetchToken(gate, operation) : undefined
   if (refused !== undefined) return { kind: 'refused', refused }
-  const attempt = target.via === undefined ? await borrow(group, target, tries, gate, waits.gone) : await forward(ctx, group, target.via, tries)
+  const attempt = target.via === undefined ? await borrow(group, target, operation, gate, waits.gone) : await forward(ctx, group, target.via, operation)
   if (!(attempt instanceof Attempt)) {
     note('no connection')
     return resultWithoutConnection(group, attempt, target)
@@ -115,15 +115,15 @@
     attempt.release()
     return { kind: 'refused', refused: { fault: 'busy', retryAfterMs: 0, cause: 'left' } }
   }
-  const unwatch = group.retryPolicy.isRetriedElsewhere(tries) && target.via === undefined ? group.watchers.watch(target.endpoint, () => attempt.link.close()) : undefined
+  const unwatch = group.retryPolicy.isRetriedElsewhere(operation) && target.via === undefined ? group.watchers.watch(target.endpoint, () => attempt.link.close()) : undefined
   const sentAt = clock.now()
-  const answer = await tries.run(attempt, target)
+  const answer = await operation.run(attempt, target)
   unwatch?.()
   if (typeof answer === 'string') note(answer)
   else note('done', answer.position)
   if (typeof answer === 'string') {
     gate.prepareRetry(MAY_HAVE_RUN.has(answer))
-    return resultOfEnding(ctx, answer, tries)
+    return resultOfEnding(ctx, answer, operation)
   }
   group.recordServiceTime(clock.now() - sentAt)
   ctx.retryBudget.recordSuccess()
@@ -136,12 +136,12 @@
  */
 function resultWithoutConnection (group: PoolGroup, refused: Refusal, { endpoint, mustLead, via }: Target): AttemptResult {
   if (!mustLead) return { kind: 'elsewhere', refused }
-  const isInDoubt = via === undefined && (refused.cause === 'unreachable' || group.contact(endpoint).isSuspect(clock.now()))
+  const isInDoubt = via === undefined && (refused.cause === 'unreachable' || group.reachability(endpoint).isSuspect(clock.now()))
   return isInDoubt ? { kind: 'short', of: 'forReach', refused } : { kind: 'refused', refused }
 }
 
-function resultOfEnding (ctx: PoolContext, ending: Ending, { what, isInTransaction: isInside }: Operation): AttemptResult {
-  const verdict = verdictOf(ending, { what, isInTransaction: isInside, isFirst: true, hasWritten: false })
+function resultOfEnding (ctx: PoolContext, ending: Ending, { what, isInTransaction }: Operation): AttemptResult {
+  const verdict = verdictOf(ending, { what, isInTransaction, isFirst: true, hasWritten: false })
   if (verdict.kind === 'refuse') return { kind: 'refused', refused: { fault: verdict.fault, retryAfterMs: 0 } }
   const refused: Refusal = { fault: faultOf(ending), retryAfterMs: LEADERLESS_RETRY_MS, cause: ending === 'busy' ? 'full' : undefined }
   // A redirection costs the endpoint no work, so it isn't charged to the retry budget.
@@ -159,12 +159,12 @@
 
 const CAUSES: Readonly<Record<'busy' | 'unreachable', Cause>> = { busy: 'queue', unreachable: 'unreachable' }
 
-async function borrow (group: PoolGroup, target: Target, { route, database, deadline, isInTransaction: isInside, values }: Operation, gate: Gate, gone: AbortSignal | undefined): Promise<Attempt | Refusal> {
+async function borrow (group: PoolGroup, target: Target, { route, database, deadline, isInTransaction, values }: Operation, gate: Gate, gone: AbortSignal | undefined): Promise<Attempt | Refusal> {
   const team = gate.team?.id
-  const lender = group.connectionPool(target.endpoint)
-  if (lender === undefined) return { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS }
-  const borrowed = await lender.borrow({ rank: route.rank, caller: team ?? database, team, leftMs: left(deadline), aimMs: left(deadline) - route.statementTimeoutMs + route.aimMs * START_SHARE, isTransaction: isInside, values, gone })
-  if (borrowed.isOk()) return Attempt.on(group, lender, borrowed.value, gate)
+  const connectionPool = group.connectionPool(target.endpoint)
+  if (connectionPool === undefined) return { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS }
+  const borrowed = await connectionPool.borrow({ rank: route.rank, caller: team ?? database, team, leftMs: left(deadline), aimMs: left(deadline) - route.statementTimeoutMs + route.aimMs * START_SHARE, isTransaction: isInTransaction, values, gone })
+  if (borrowed.isOk()) return Attempt.on(group, connectionPool, borrowed.value, gate)
   return { fault: 'busy', retryAfterMs: borrowed.error.retryAfterMs, cause: CAUSES[borrowed.error.reason] }
 }
 
