--- a/src/shell/pool/access/gate.ts
+++ b/src/shell/pool/access/gate.ts
@@ -30,13 +30,13 @@
   }
 
   /**
-   * Fetches a token if the team needs one; resolves with a refusal if none could be had. `patienceMs`: the longest wait for a
-   * token; `mostMs`: the longest wait while issuers don't answer.
+   * Fetches a token if the team needs one; resolves with a refusal if none could be had. `maxWaitMs`: the longest wait for a
+   * token; `maxSilentMs`: the longest wait while issuers don't answer.
    */
-  async fetchToken (patienceMs: number, mostMs: number): Promise<Refusal | undefined> {
+  async fetchToken (maxWaitMs: number, maxSilentMs: number): Promise<Refusal | undefined> {
     const { ctx: { allowances }, team } = this
     if (team?.rate === undefined || allowances === undefined || this.isSpent || this.token !== undefined) return undefined
-    const taken = await allowances.take(team, patienceMs, mostMs)
+    const taken = await allowances.take(team, maxWaitMs, maxSilentMs)
     if (taken.isErr()) return { fault: 'overAllowance', retryAfterMs: taken.error }
     this.token = taken.value
     return undefined
--- a/src/shell/pool/allowance/allowances.ts
+++ b/src/shell/pool/allowance/allowances.ts
@@ -67,12 +67,12 @@
 }
 
 /** Longest wait for an issuer's answer before another place is asked. */
-const ANSWER_MS = 100
+const ANSWER_TIMEOUT_MS = 100
 /** Shortest retry delay that a caller gets. */
 const MIN_RETRY_MS = 5
 /** Retry delay for a host that asks at a place without a shard of the team, because its configuration is outdated. */
 const WRONG_PLACE_RETRY_MS = 500
-/** Multiple of its patience for which an operation waits while some tokens come. */
+/** Multiple of its longest wait for which an operation waits while some tokens come. */
 const OVERDUE_FACTOR = 2
 /** Lower limit of a team's rate in the calculation of retry delays. */
 const MIN_RATE_PER_SECOND = 0.01
@@ -118,10 +118,10 @@
   }
 
   /**
-   * Takes a token for one operation of the team; resolves with its expiry, or with the retry delay in milliseconds. `patienceMs`: the
-   * longest wait for a token; without a wait if it's known to come later. `mostMs`: the longest wait while issuers don't answer, as when they start.
+   * Takes a token for one operation of the team; resolves with its expiry, or with the retry delay in milliseconds. `maxWaitMs`: the
+   * longest wait for a token; without a wait if it's known to come later. `maxSilentMs`: the longest wait while issuers don't answer, as when they start.
    */
-  async take (team: Team, patienceMs: number, mostMs: number): Promise<Result<Instant, number>> {
+  async take (team: Team, maxWaitMs: number, maxSilentMs: number): Promise<Result<Instant, number>> {
     const account = this.accountOf(team)
     const taken = account.waiting.length === 0 ? account.tokens.take(this.options.age()) : undefined
     if (taken !== undefined) {
@@ -130,7 +130,7 @@
     }
     return await new Promise(resolve => {
       const now = this.options.age()
-      account.waiting.push({ until: now + patienceMs as Instant, overdueAt: now + OVERDUE_FACTOR * patienceMs as Instant, last: now + mostMs as Instant, answer: resolve })
+      account.waiting.push({ until: now + maxWaitMs as Instant, overdueAt: now + OVERDUE_FACTOR * maxWaitMs as Instant, last: now + maxSilentMs as Instant, answer: resolve })
       if (!account.isAsking) this.ask(team, account)
       else if (account.freeAt > now) this.refuseLate(team, account)
     })
@@ -200,7 +200,7 @@
     const { hosts, port, metrics, onAskEnded } = this.options
     const askedAt = this.options.age()
     const host = hosts().find(({ id }) => id === this.issuers?.hostAt(place))
-    const answer = host === undefined ? undefined : await port.ask(host, { team: team.id, place, count }, ANSWER_MS)
+    const answer = host === undefined ? undefined : await port.ask(host, { team: team.id, place, count }, ANSWER_TIMEOUT_MS)
     metrics.tokenAsks.inc({ outcome: answer === undefined ? 'silent' : answer.count > 0 ? 'issued' : 'none' })
     onAskEnded(place, answer !== undefined)
     if (answer !== undefined) this.backOff.answered(place)
@@ -219,7 +219,7 @@
   }
 
   /**
-   * Refuses operations that have waited for twice their patience while issuers answer. A team over its allowance may get some
+   * Refuses operations that have waited for twice their longest wait while issuers answer. A team over its allowance may get some
    * tokens with each request, so `refuseLate` doesn't apply, and its operations would get their tokens too late to use them.
    * A team within its allowance gets its token in this time, even if some places have none.
    */
--- a/src/shell/pool/allowance/issuerregistry.ts
+++ b/src/shell/pool/allowance/issuerregistry.ts
@@ -26,9 +26,9 @@
 /** Delay before the first issuers are named, so that hosts that start together know each other. */
 const FIRST_ISSUERS_MS = 2000
 /** Additional delay for each host before this one in the order of ids. */
-const TURN_MS = 1000
+const RANK_DELAY_MS = 1000
 /** Silence after which an issuer is replaced; a restarted process is back before. */
-const GONE_MS = 5000
+const REPLACE_AFTER_MS = 5000
 
 export class IssuerRegistry {
   static readonly key = KEY
@@ -55,10 +55,12 @@
     this.silentSince.clear()
   }
 
+  /** Records an answer of the issuer at the place. */
   answered (place: number): void {
     this.silentSince.delete(place)
   }
 
+  /** Records that the issuer at the place didn't answer in time. */
   silent (place: number): void {
     if (!this.silentSince.has(place)) this.silentSince.set(place, clock.now())
   }
@@ -69,8 +71,8 @@
     const now = clock.now()
     if (this.issuers === undefined) return this.nameFirst(now)
     // An issuer that was named recently may still be waiting, and doesn't answer yet.
-    if (now - this.changedAt < this.options.trustMs + GONE_MS) return
-    const gone = [...this.silentSince].find(([, since]) => now - since >= GONE_MS)
+    if (now - this.changedAt < this.options.trustMs + REPLACE_AFTER_MS) return
+    const gone = [...this.silentSince].find(([, since]) => now - since >= REPLACE_AFTER_MS)
     if (gone === undefined) return
     const next = this.issuers.withReplacement(gone[0], this.hosts)
     if (next !== undefined) this.write(next)
@@ -81,8 +83,8 @@
   }
 
   private nameFirst (now: Instant): void {
-    const turn = [...this.hosts].sort().indexOf(this.options.self)
-    if (now - this.changedAt >= FIRST_ISSUERS_MS + TURN_MS * turn) this.write(IssuerTable.initial(this.hosts))
+    const rank = [...this.hosts].sort().indexOf(this.options.self)
+    if (now - this.changedAt >= FIRST_ISSUERS_MS + RANK_DELAY_MS * rank) this.write(IssuerTable.initial(this.hosts))
   }
 
   private async write (issuers: IssuerTable): Promise<void> {
--- a/src/shell/pool/allowance/tokentransport.ts
+++ b/src/shell/pool/allowance/tokentransport.ts
@@ -5,11 +5,13 @@
 
 interface TokenRequest {
   readonly team: TeamId
+  /** The issuer's place in the table of issuers. */
   readonly place: number
   readonly count: number
 }
 
 interface TokenGrant {
+  /** The number of tokens; 0 if there is none. */
   readonly count: number
   /** Milliseconds until there is another token. */
   readonly nextMs: number
--- a/src/shell/pool/connections/attempt.ts
+++ b/src/shell/pool/connections/attempt.ts
@@ -29,17 +29,17 @@
    * without one. `isLead`: whether its success proves that the endpoint is the primary.
    */
   async ask (commands: readonly Command[], index: number, timeoutMs: number, isLead: boolean): Promise<Answer | Ending> {
-    const isOwn = !commands.some(isCallerCommand)
+    const isInternal = !commands.some(isCallerCommand)
     const began = clock.now()
-    const ticket = isOwn ? undefined : this.source.requestPlace(this.link, timeoutMs)
+    const ticket = isInternal ? undefined : this.source.requestPlace(this.link, timeoutMs)
     if (ticket !== undefined && !await this.waitForPlace(ticket, timeoutMs)) return 'busy'
-    const refused = isOwn ? undefined : this.gate?.check()
+    const refused = isInternal ? undefined : this.gate?.check()
     if (refused !== undefined) {
       ticket?.returnPlace('notSent')
       return refused
     }
-    const leftMs = ticket === undefined ? timeoutMs : timeoutMs - (clock.now() - began)
-    const answer = await this.send(commands, index, leftMs, isLead)
+    const remainingMs = ticket === undefined ? timeoutMs : timeoutMs - (clock.now() - began)
+    const answer = await this.send(commands, index, remainingMs, isLead)
     ticket?.returnPlace(typeof answer === 'string' ? answer : 'done')
     return answer
   }
@@ -77,7 +77,7 @@
   release (): void {
     const { link, source } = this
     if (!link.isOpen || !link.isInTransaction) return source.returnLink(link)
-    link.ask([{ kind: 'rollback' }], ROLLBACK_MS).then(() => source.returnLink(link))
+    link.ask([{ kind: 'rollback' }], ROLLBACK_TIMEOUT_MS).then(() => source.returnLink(link))
   }
 
   /** Closes the connection after a failed prelude: its session values are unknown, and the statement may have run with wrong ones. */
@@ -98,4 +98,4 @@
 }
 
 /** Longest wait for a rollback, which doesn't wait in the endpoint's queue. */
-const ROLLBACK_MS = 1000
+const ROLLBACK_TIMEOUT_MS = 1000
--- a/src/shell/pool/connections/borrowrequest.ts
+++ b/src/shell/pool/connections/borrowrequest.ts
@@ -13,7 +13,7 @@
   /** The team whose connections serve it; undefined where connections serve anyone. */
   readonly team: TeamId | undefined
   /** Milliseconds until the operation's deadline. */
-  readonly leftMs: number
+  readonly remainingMs: number
   /** Milliseconds within which it must start to meet its latency aim; negative once that has passed. */
   readonly aimMs?: number
   readonly isTransaction: boolean
--- a/src/shell/pool/connections/connectionpool.test.ts
+++ b/src/shell/pool/connections/connectionpool.test.ts
@@ -85,7 +85,7 @@
   }
 
   async borrow (team: string, isTransaction = false): Promise<FakeLink> {
-    const borrowed = await this.pool.borrow({ rank: 1, caller: team, team: team as TeamId, leftMs: 1000, isTransaction, values: SessionState.empty() })
+    const borrowed = await this.pool.borrow({ rank: 1, caller: team, team: team as TeamId, remainingMs: 1000, isTransaction, values: SessionState.empty() })
     return borrowed._unsafeUnwrap() as FakeLink
   }
 
--- a/src/shell/pool/connections/connectionpool.ts
+++ b/src/shell/pool/connections/connectionpool.ts
@@ -52,7 +52,7 @@
 }
 
 /** Interval of checking waiting operations: a tenth of the shortest latency aim. */
-const TICK_MS = 10
+const TICK_INTERVAL_MS = 10
 /** Retry delay for an unreachable endpoint: about the time in which another primary is found. */
 const UNREACHABLE_RETRY_MS = 500
 
@@ -64,7 +64,7 @@
   private nextId = 1
   /** Idle connections that are closed unless they are borrowed before. */
   private readonly idleTimeouts = IdleTimeouts.create(link => this.closeIdleLink(link))
-  private readonly ticker = Ticker.create(TICK_MS, () => this.step({ kind: 'tick' }))
+  private readonly ticker = Ticker.create(TICK_INTERVAL_MS, () => this.step({ kind: 'tick' }))
   private isClosed = false
   private limit: number
   private scarcity: ConnectionScarcity
@@ -112,12 +112,12 @@
     return this.places?.load()
   }
 
-  requestPlace (link: EndpointLink, leftMs: number): PlaceTicket | undefined {
+  requestPlace (link: EndpointLink, remainingMs: number): PlaceTicket | undefined {
     const borrowing = this.borrowings.get(link)
     if (borrowing === undefined || this.places === undefined) return undefined
     const { wish: { rank, caller, isTransaction }, aim } = borrowing
     const what = isTransaction && borrowing.ticket !== undefined ? 'next' : 'first'
-    borrowing.ticket = this.places.requestPlace({ rank, caller, what, leftMs, aim })
+    borrowing.ticket = this.places.requestPlace({ rank, caller, what, remainingMs, aim })
     return borrowing.ticket
   }
 
@@ -135,7 +135,7 @@
     if (this.isClosed) return err({ reason: 'unreachable', retryAfterMs: 0 })
     const cancel = () => this.cancel(wish)
     wish.gone?.addEventListener('abort', cancel)
-    const borrowed = await new Promise<BorrowResult>(resolve => this.enqueue({ id: this.nextId++, wish, deadline: clock.now() + wish.leftMs as Instant, answer: resolve }))
+    const borrowed = await new Promise<BorrowResult>(resolve => this.enqueue({ id: this.nextId++, wish, deadline: clock.now() + wish.remainingMs as Instant, answer: resolve }))
     wish.gone?.removeEventListener('abort', cancel)
     return borrowed
   }
@@ -190,8 +190,8 @@
   }
 
   /** Latency aims are considered only where this host counts places; elsewhere operations are served in order of arrival. */
-  private aimOf ({ wish: { leftMs, aimMs }, deadline }: Pick<BorrowRequest, 'wish' | 'deadline'>): Instant | undefined {
-    return this.places === undefined || aimMs === undefined ? undefined : deadline - leftMs + aimMs as Instant
+  private aimOf ({ wish: { remainingMs, aimMs }, deadline }: Pick<BorrowRequest, 'wish' | 'deadline'>): Instant | undefined {
+    return this.places === undefined || aimMs === undefined ? undefined : deadline - remainingMs + aimMs as Instant
   }
 
   /** Removes an operation from the queue that its caller no longer waits for. */
--- a/src/shell/pool/connections/endpointdialer.ts
+++ b/src/shell/pool/connections/endpointdialer.ts
@@ -17,7 +17,7 @@
 }
 
 /** Longest time for opening a connection, including the handshake and the wait in the endpoint's queue. */
-const DIAL_MS = 1000
+const DIAL_TIMEOUT_MS = 1000
 
 export class EndpointDialer {
   private isClosed = false
@@ -31,7 +31,7 @@
   /** `team`: the team that the connection serves; undefined for a connection that serves anyone. */
   async dial (team: TeamId | undefined): Promise<Result<EndpointLink, DialFault>> {
     const { dialer, endpoint, onDialEnded, onOpened, onEnded } = this.options
-    const dialled = await dialer.dial(endpoint, team, DIAL_MS)
+    const dialled = await dialer.dial(endpoint, team, DIAL_TIMEOUT_MS)
     onDialEnded(dialled.isOk() ? 'opened' : dialled.error)
     if (dialled.isErr()) return dialled
     const link = dialled.value
--- a/src/shell/pool/connections/openingqueue.ts
+++ b/src/shell/pool/connections/openingqueue.ts
@@ -62,7 +62,7 @@
     const waitMs = Math.min((deadline - clock.now()) * MAX_WAIT_SHARE, openingDelayMs(places, demand))
     if (waitMs > 0) await Promise.race([entry.ended, pause(waitMs)])
     if (entry.isTaken) return 'taken'
-    const ticket = places.requestPlace({ rank, caller, what: 'opening', leftMs: deadline - clock.now() })
+    const ticket = places.requestPlace({ rank, caller, what: 'opening', remainingMs: deadline - clock.now() })
     entry.ended.then(() => ticket.cancel())
     const isGranted = await ticket.granted
     if (entry.isTaken) {
@@ -77,7 +77,7 @@
   async openShared (places: Places | undefined, first: Request | undefined, dial: Dial): ReturnType<Dial> {
     if (places === undefined || first === undefined) return await dial()
     const { wish: { rank, caller }, deadline } = first
-    const ticket = places.requestPlace({ rank, caller, what: 'opening', leftMs: deadline - clock.now() })
+    const ticket = places.requestPlace({ rank, caller, what: 'opening', remainingMs: deadline - clock.now() })
     if (!await ticket.granted) return err('tooManyConnections')
     const dialled = await dial()
     ticket.returnPlace(dialled.isOk() ? 'done' : isEndpointFull(dialled.error) ? 'notSent' : 'broken')
--- a/src/shell/pool/connections/places.ts
+++ b/src/shell/pool/connections/places.ts
@@ -1,4 +1,4 @@
-/** This host's places at one endpoint, granted in the order that `PlaceScheduler` decides. */
+/** This host's places (permits for one statement or opening each) at one endpoint, granted in the order that `PlaceScheduler` decides. */
 
 import type { CallerId } from '../../../core/id/caller.ts'
 import type { EndpointId } from '../../../core/id/endpoint.ts'
@@ -36,7 +36,7 @@
   readonly caller: string
   readonly what: PlaceOrder['what']
   /** Milliseconds until its deadline. */
-  readonly leftMs: number
+  readonly remainingMs: number
   /** Latest start at which the operation meets its latency aim; undefined where aims aren't considered. */
   readonly aim?: Instant | undefined
 }
@@ -45,7 +45,7 @@
 type Settle = (isGranted: boolean) => void
 
 /** Interval of checking the queue and the limit. */
-const TICK_MS = 10
+const TICK_INTERVAL_MS = 10
 /** Shortest time between two log lines of the same kind. */
 const LOG_INTERVAL_MS = 5000
 /** Endings without an answer, for which the measured time is only a lower bound. */
@@ -56,7 +56,7 @@
   private readonly limit: PlaceLimit
   private readonly pending = new Map<number, Settle>()
   private nextId = 1
-  private readonly ticker = Ticker.create(TICK_MS, () => this.step({ kind: 'tick' }))
+  private readonly ticker = Ticker.create(TICK_INTERVAL_MS, () => this.step({ kind: 'tick' }))
   private shedLoggedAt = -Infinity as Instant
   private refusedLoggedAt = -Infinity as Instant
   private refused = 0
@@ -98,7 +98,7 @@
     this.step({ kind: 'tick' })
   }
 
-  requestPlace ({ rank, caller, what, leftMs, aim }: PlaceRequest): PlaceTicket {
+  requestPlace ({ rank, caller, what, remainingMs, aim }: PlaceRequest): PlaceTicket {
     const id = this.nextId++
     const since = clock.now()
     let grantedAt: Instant | undefined
@@ -107,7 +107,7 @@
       this.options.metrics.placeSeconds.observe({ what }, (clock.now() - since) / 1000)
       resolve(isGranted)
     }))
-    this.step({ kind: 'arrived', order: { id, rank, caller: caller as CallerId, deadline: since + leftMs as Instant, aim, what } })
+    this.step({ kind: 'arrived', order: { id, rank, caller: caller as CallerId, deadline: since + remainingMs as Instant, aim, what } })
     const giveBack = (ending: PlaceEnding) => {
       if (grantedAt === undefined) return this.cancel(id)
       const ms = clock.now() - grantedAt
--- a/src/shell/pool/context.ts
+++ b/src/shell/pool/context.ts
@@ -34,6 +34,7 @@
   readonly reportUnreachableHost: (id: HostId) => void
   /** Connects to a host that reaches an endpoint of the database. */
   readonly dialHost: (host: PoolHost, database: string, key: KeyDigest | undefined, timeoutMs: number) => ReturnType<Dialer['dialHost']>
+  /** Undefined for a group that isn't configured. */
   readonly group: (id: GroupId) => PoolGroup | undefined
   readonly retryBudget: SharedRetryBudget
   readonly log: Log
--- a/src/shell/pool/failover/probes.ts
+++ b/src/shell/pool/failover/probes.ts
@@ -9,9 +9,9 @@
 import type { PoolGroup } from '../group.ts'
 
 /** Limit for opening the connection, and for the answer. */
-const PROBE_MS = 300
+const PROBE_TIMEOUT_MS = 300
 /** An endpoint counts the connections of dead hosts for about three seconds. One that closes connections for longer without any answer is unreachable. */
-const FULL_MS = 4000
+const MAX_FULL_MS = 4000
 
 export class Probes {
   private constructor (private readonly group: PoolGroup, private readonly dialer: Dialer) {}
@@ -24,11 +24,11 @@
   async proveLeader (id: EndpointId): Promise<boolean> {
     const { group, dialer } = this
     const endpoint = group.endpoint(id) ?? group.connectionPool(id)?.endpoint
-    const dialled = endpoint === undefined ? undefined : await dialer.dial(endpoint, undefined, PROBE_MS)
+    const dialled = endpoint === undefined ? undefined : await dialer.dial(endpoint, undefined, PROBE_TIMEOUT_MS)
     if (dialled === undefined || dialled.isErr()) {
       return this.handleDialFault(id, dialled?.isErr() === true ? dialled.error : 'unreachable')
     }
-    const { answers } = await dialled.value.ask([{ kind: 'begin', isReadOnly: false }], PROBE_MS)
+    const { answers } = await dialled.value.ask([{ kind: 'begin', isReadOnly: false }], PROBE_TIMEOUT_MS)
     dialled.value.close()
     const [answer] = answers
     if (answer === undefined) {
@@ -47,7 +47,7 @@
   private handleDialFault (id: EndpointId, fault: DialFault): boolean {
     const { group } = this
     if (fault === 'tooManyConnections') group.answered(id, undefined, clock.age(), false)
-    const isOnlyFull = fault === 'tooManyConnections' || (fault === 'turnedAway' && group.reachability(id).hasAnsweredWithin(FULL_MS, clock.now()))
+    const isOnlyFull = fault === 'tooManyConnections' || (fault === 'turnedAway' && group.reachability(id).hasAnsweredWithin(MAX_FULL_MS, clock.now()))
     if (!isOnlyFull) group.recordNoAnswer(id)
     return isOnlyFull
   }
@@ -57,9 +57,9 @@
     const { group, dialer } = this
     const endpoint = group.endpoint(id)
     if (endpoint === undefined) return undefined
-    const dialled = await dialer.dial(endpoint, undefined, PROBE_MS)
+    const dialled = await dialer.dial(endpoint, undefined, PROBE_TIMEOUT_MS)
     if (dialled.isErr()) return undefined
-    const { answers } = await dialled.value.ask([command], PROBE_MS)
+    const { answers } = await dialled.value.ask([command], PROBE_TIMEOUT_MS)
     dialled.value.close()
     return answers[0]?.status
   }
--- a/src/shell/pool/group.ts
+++ b/src/shell/pool/group.ts
@@ -183,6 +183,7 @@
     this.service.add(ms, clock.now())
   }
 
+  /** Takes in a change of the directory; drops the state of endpoints that are gone or were replaced. */
   updateDirectory (directory: Directory): void {
     const before = this.directory
     this.directory = directory
@@ -263,11 +264,13 @@
     this.setLeadership(this.leadership.proved(id, term), 'status')
   }
 
+  /** Records that the endpoint refused a read because its log was behind the required position. */
   recordBehind (id: EndpointId): void {
     this.logStates.set(id, this.logState(id).withRefusal(clock.now()))
     this.readRouter.recordBehind(id)
   }
 
+  /** Records that the endpoint refused a statement because it isn't the primary. */
   recordNotPrimary (id: EndpointId): void {
     this.setLeadership(this.leadership.refused(id, clock.now()), 'refusal')
   }
@@ -279,6 +282,7 @@
     if (next !== reachability) this.reachabilities.set(id, next)
   }
 
+  /** Records a request without an answer in time, or a connection that broke or couldn't be opened. */
   recordNoAnswer (id: EndpointId): void {
     const now = clock.now()
     const reachability = this.reachability(id).failed(now)
--- a/src/shell/pool/load/refusallog.test.ts
+++ b/src/shell/pool/load/refusallog.test.ts
@@ -37,7 +37,7 @@
   for (const one of logged) expect(one).toMatchObject({ event: 8041, done: 9, largest: expect.stringMatching(/^red 2 done \d+ refused, blue .*, t1 2 done \d+ refused$/) })
 })
 
-it('metrics name three teams of a group, and none that asks no more', async () => {
+it('metrics name the three largest teams of a group, and drop teams without statements', async () => {
   const { registry } = PoolMetrics.create()
   let snapshot = refusingGroups(4)
   loadGauges(registry, () => snapshot)
--- a/src/shell/pool/load/refusallog.ts
+++ b/src/shell/pool/load/refusallog.ts
@@ -22,8 +22,8 @@
   private constructor (private readonly options: Options) {}
 
   static start (options: Options, signal: AbortSignal): void {
-    const it = new RefusalLog(options)
-    const timer = setInterval(() => it.logRefusals(), LOG_INTERVAL_MS)
+    const refusalLog = new RefusalLog(options)
+    const timer = setInterval(() => refusalLog.logRefusals(), LOG_INTERVAL_MS)
     timer.unref()
     signal.addEventListener('abort', () => clearInterval(timer), { once: true })
   }
--- a/src/shell/pool/membership/endpointlisting.ts
+++ b/src/shell/pool/membership/endpointlisting.ts
@@ -17,7 +17,7 @@
 
 export class EndpointListing {
   private current = Directory.empty
-  private lapses = MissingEndpoints.empty
+  private missingEndpoints = MissingEndpoints.empty
   private wasRead = false
 
   private constructor (private readonly options: Options) {}
@@ -43,8 +43,8 @@
   }
 
   /** Removes endpoints whose rows were erased and didn't come back in time. Must be called regularly. */
-  removeLapsed (): void {
-    const due = this.lapses.expired(clock.now())
+  removeExpired (): void {
+    const due = this.missingEndpoints.expired(clock.now())
     if (due.length === 0) return
     for (const id of due) this.remove(id)
     this.options.onChange()
@@ -62,7 +62,7 @@
     const old = this.current.get(id)
     const isChanged = old === undefined || old.isLeaving !== endpoint.isLeaving || old.isPrimary !== endpoint.isPrimary || old.startedAtMs !== endpoint.startedAtMs
     if (isChanged) log.write('endpointListed', { endpoint: id, group: endpoint.group, isLeaving: endpoint.isLeaving, isPrimary: endpoint.isPrimary, version })
-    this.lapses = this.lapses.without(id)
+    this.missingEndpoints = this.missingEndpoints.without(id)
     this.current = this.current.with(endpoint, version)
   }
 
@@ -71,11 +71,11 @@
     if (endpoint === undefined) return
     this.options.log.write('endpointGone', { endpoint: id, group: endpoint.group, isLeaving: endpoint.isLeaving })
     if (endpoint.isLeaving) this.remove(id)
-    else this.lapses = this.lapses.with(id, clock.now())
+    else this.missingEndpoints = this.missingEndpoints.with(id, clock.now())
   }
 
   private remove (id: EndpointId): void {
-    this.lapses = this.lapses.without(id)
+    this.missingEndpoints = this.missingEndpoints.without(id)
     this.current = this.current.without(id)
   }
 }
--- a/src/shell/pool/membership/tablereplicator.ts
+++ b/src/shell/pool/membership/tablereplicator.ts
@@ -48,12 +48,12 @@
 type WriteAction = Extract<SyncAction, { kind: 'write' }>
 
 /** A fifth of the shortest time after which a host counts as silent. */
-const TICK_MS = 100
+const TICK_INTERVAL_MS = 100
 /** Longest time to announce that this host leaves; the shortest grace period leaves 0.8 s for the whole shutdown. */
-const LEAVE_MS = 300
-const LEAVE_POLL_MS = 10
+const LEAVE_TIMEOUT_MS = 300
+const LEAVE_POLL_INTERVAL_MS = 10
 /** Longest wait for the copy of the configuration before the configuration itself is read. */
-const COPY_MS = 100
+const COPY_TIMEOUT_MS = 100
 
 export class TableReplicator {
   private control: TableSync
@@ -84,7 +84,7 @@
   static start (options: Options, signal: AbortSignal): TableReplicator {
     const replicator = new TableReplicator(options, signal)
     replicator.listen()
-    const timer = setInterval(() => replicator.step({ kind: 'tick' }), TICK_MS)
+    const timer = setInterval(() => replicator.step({ kind: 'tick' }), TICK_INTERVAL_MS)
     signal.addEventListener('abort', () => {
       clearInterval(timer)
       for (const link of [...replicator.sources.values(), ...replicator.followers.values()]) link.close()
@@ -124,8 +124,8 @@
   /** Announces that this host leaves. */
   async leave (): Promise<void> {
     this.step({ kind: 'leave' })
-    const until = clock.now() + LEAVE_MS
-    while (this.control.isWriting && clock.now() < until) await pause(LEAVE_POLL_MS)
+    const until = clock.now() + LEAVE_TIMEOUT_MS
+    while (this.control.isWriting && clock.now() < until) await pause(LEAVE_POLL_INTERVAL_MS)
   }
 
   /** Handles events one at a time, since an action may cause another event, and messages must be sent in order. */
@@ -201,7 +201,7 @@
    */
   private async readCopy (): Promise<{ readonly rows: readonly Row[], readonly version: number, readonly storeMs: number } | undefined> {
     const { store, names, metrics } = this.options
-    const copy = await Promise.race([this.configCopy.read(), pause(COPY_MS, undefined)])
+    const copy = await Promise.race([this.configCopy.read(), pause(COPY_TIMEOUT_MS, undefined)])
     if (copy === undefined) return undefined
     metrics.storeCalls.inc({ call: 'changes', table: 'config', why: 'copy' })
     const changed = await store.changes(names.config, copy.version, 0, this.signal)
--- a/src/shell/pool/node.ts
+++ b/src/shell/pool/node.ts
@@ -25,23 +25,23 @@
 import { Waiters } from './waiters.ts'
 
 /** Store table for leases, objections and handovers. */
-const TABLE = 'agatepond'
+const SHARED_TABLE = 'agatepond'
 /** Store table of the hosts that are alive. */
-const ROLL_TABLE = 'agatepond-hosts'
+const REGISTRY_TABLE = 'agatepond-hosts'
 /** Store table of the compressed copy of the configuration. */
 const COPIES_TABLE = 'agatepond-copies'
 /** Longest wait for a newer configuration from another host, so that a sign-in isn't delayed by a host that doesn't answer. */
-const CATCH_UP_MS = 300
+const CATCH_UP_TIMEOUT_MS = 300
 /** Interval at which each group's primary is checked and its load reported. */
-const TICK_MS = 100
+const TICK_INTERVAL_MS = 100
 /** Interval at which the hosts that issue tokens are checked. */
-const ISSUER_CHECK_MS = 500
+const ISSUER_CHECK_INTERVAL_MS = 500
 
 export class PoolNode {
   /** The store table that all hosts share. */
-  static readonly table = TABLE
+  static readonly table = SHARED_TABLE
   /** The store table of the hosts that are alive. */
-  static readonly rollTable = ROLL_TABLE
+  static readonly rollTable = REGISTRY_TABLE
   readonly context: PoolContext
   private readonly groups: PoolGroups
   private readonly listing: EndpointListing
@@ -83,7 +83,7 @@
     this.configuration = Configuration.create({ log, metrics, ...options.platform.config })
     this.listing = EndpointListing.create({ log, parse: options.platform.endpoints.parse, onChange: () => this.groups.updateDirectory() })
     this.groups = PoolGroups.create({
-      ...options, table: TABLE, startedAt: this.startedAt, config: () => this.config, directory: () => this.listing.directory, hosts: () => this.hosts, signal
+      ...options, table: SHARED_TABLE, startedAt: this.startedAt, config: () => this.config, directory: () => this.listing.directory, hosts: () => this.hosts, signal
     })
     this.reporter = options.loadTransport === undefined ? undefined : this.createReporter(options.loadTransport)
     this.tableReplicator = TableReplicator.start({
@@ -92,7 +92,7 @@
       seeds: options.seeds,
       isFirstStart: options.isFirstStart,
       store: options.platform.store,
-      names: { config: options.platform.config.table, endpoints: options.platform.endpoints.table, shared: TABLE, roll: ROLL_TABLE },
+      names: { config: options.platform.config.table, endpoints: options.platform.endpoints.table, shared: SHARED_TABLE, roll: REGISTRY_TABLE },
       copyTable: COPIES_TABLE,
       log,
       metrics,
@@ -118,7 +118,7 @@
    * Whether it knows the configuration, the directory and the other hosts.
    *
    * The other hosts must be known, since a host that takes itself for the only one would serve all callers that wait for it
-   * instead of passing them on to the owners, each on a connection of its own, for as long as their sessions last.
+   * instead of forwarding them to the owners, each on a connection of its own, for as long as their sessions last.
    */
   get isReady (): boolean {
     return this.configuration.isKnown && this.tableReplicator.isReady
@@ -141,8 +141,8 @@
     if (version <= this.config.version) return
     const forwarder = this.hosts.find(({ id }) => id === host)
     if (forwarder === undefined) return
-    const until = clock.now() + CATCH_UP_MS
-    for (let left = CATCH_UP_MS; version > this.config.version && left > 0; left = until - clock.now()) await this.tableReplicator.consult(forwarder, left)
+    const until = clock.now() + CATCH_UP_TIMEOUT_MS
+    for (let left = CATCH_UP_TIMEOUT_MS; version > this.config.version && left > 0; left = until - clock.now()) await this.tableReplicator.consult(forwarder, left)
   }
 
   private async whenReady (ms: number): Promise<boolean> {
@@ -155,20 +155,20 @@
     if (this.isReady) this.startWaiters.wake()
   }
 
-  /** Announces to the other hosts that this one leaves. */
+  /** Announces to the other hosts that this one leaves; resolves after a time limit at the latest. */
   async leave (): Promise<void> {
     await this.tableReplicator.leave()
   }
 
   private startTimers (): void {
     const timer = setInterval(() => {
-      this.listing.removeLapsed()
+      this.listing.removeExpired()
       this.groups.tick()
       this.reporter?.tick()
-    }, TICK_MS)
+    }, TICK_INTERVAL_MS)
     const issuerTimer = setInterval(() => {
       if (this.isReady && this.tableReplicator.isKnown && this.config.teams?.some(({ rate }) => rate !== undefined) === true) this.allowanceService?.tick()
-    }, ISSUER_CHECK_MS)
+    }, ISSUER_CHECK_INTERVAL_MS)
     this.signal.addEventListener('abort', () => {
       clearInterval(timer)
       clearInterval(issuerTimer)
@@ -187,7 +187,7 @@
       team: id => this.config.team(id),
       hosts: () => this.hosts,
       store,
-      table: TABLE,
+      table: SHARED_TABLE,
       log,
       metrics,
       chance,
--- a/src/shell/pool/readrouter.ts
+++ b/src/shell/pool/readrouter.ts
@@ -47,7 +47,7 @@
   /** Endpoints that were tried before. */
   readonly tried: ReadonlySet<EndpointId>
   /** Milliseconds until the read's deadline. */
-  readonly leftMs: number
+  readonly remainingMs: number
 }
 
 interface ReadPlacement {
@@ -70,13 +70,13 @@
   }
 
   /** The endpoint to try next; undefined if none is left. */
-  place ({ position, team, tried, leftMs }: Read): ReadPlacement | undefined {
+  place ({ position, team, tried, remainingMs }: Read): ReadPlacement | undefined {
     const now = clock.now()
     const view = this.view()
     const all = {
       ...view,
       dataCentre: this.options.dataCentre,
-      leftMs,
+      leftMs: remainingMs,
       queued: (id: EndpointId) => view.connectionPool(id)?.queued ?? 0,
       needsNewConnection: (id: EndpointId) => team !== undefined && view.connectionPool(id)?.hasIdle(team) !== true,
       mayContain: (id: EndpointId) => view.standing(id).mayContain(position, now)
@@ -122,6 +122,7 @@
     if (isShared) this.shared.answered(id, position, progress, clock.age())
   }
 
+  /** Records that the endpoint refused a read because its log was behind the required position. */
   recordBehind (id: EndpointId): void {
     this.shared.recordRefusal(id, clock.age())
   }
--- a/src/shell/pool/statements/receipt.ts
+++ b/src/shell/pool/statements/receipt.ts
@@ -39,7 +39,7 @@
 
 async function statusOf ({ group, successor, database, team, deadline }: Options) {
   const pool = group.connectionPool(successor)
-  const borrowed = await pool?.borrow({ rank: HIGHEST_RANK, caller: team ?? database, team, leftMs: left(deadline), isTransaction: false, values: SessionState.empty() })
+  const borrowed = await pool?.borrow({ rank: HIGHEST_RANK, caller: team ?? database, team, remainingMs: left(deadline), isTransaction: false, values: SessionState.empty() })
   if (pool === undefined || borrowed?.isOk() !== true) return undefined
   const attempt = Attempt.on(group, pool, borrowed.value)
   const answer = await attempt.ask([{ kind: 'status' }], 0, left(deadline), false)
--- a/src/shell/pool/statements/target.ts
+++ b/src/shell/pool/statements/target.ts
@@ -21,14 +21,14 @@
   /** Endpoints that were tried for this operation. */
   readonly tried: ReadonlySet<EndpointId>
   /** Milliseconds until the operation's deadline. */
-  readonly leftMs: number
+  readonly remainingMs: number
 }
 
 /** Resolves with undefined if the primary is needed and unreachable. Waits only for a replica that will soon have the position that the read requires. */
-export async function nextTarget (group: PoolGroup, { mustLead, freshness, newestCommit, team, mayForward, tried, leftMs }: TargetOptions): Promise<Target | undefined> {
+export async function nextTarget (group: PoolGroup, { mustLead, freshness, newestCommit, team, mayForward, tried, remainingMs }: TargetOptions): Promise<Target | undefined> {
   if (!mustLead && freshness.kind === 'age') {
     const after = group.requiredPosition(newestCommit, freshness.ms)
-    const placement = after === undefined ? undefined : group.readRouter.place({ position: after, team, tried, leftMs })
+    const placement = after === undefined ? undefined : group.readRouter.place({ position: after, team, tried, remainingMs })
     if (placement !== undefined) {
       if (placement.waitMs > 0) await pause(placement.waitMs)
       return { endpoint: placement.endpoint, after, mustLead: false }
--- a/src/shell/pool/statements/tryall.ts
+++ b/src/shell/pool/statements/tryall.ts
@@ -23,9 +23,9 @@
 import { RetryWaits } from './retrywaits.ts'
 
 /** Time limit for connecting to another host, so that a dead host doesn't use up the operation's time. */
-const FORWARD_DIAL_MS = 300
+const FORWARD_DIAL_TIMEOUT_MS = 300
 /** Part of the latency aim for which an operation waits for a token of its team. */
-const TOKEN_SHARE = 0.3
+const TOKEN_WAIT_SHARE = 0.3
 /** Part of the remaining time for which an operation waits for token issuers that don't answer, as when all hosts start. */
 const SILENT_ISSUER_SHARE = 0.5
 /** Part of the latency aim within which an operation should start at the endpoint. */
@@ -58,7 +58,7 @@
   const full = new Set<EndpointId>()
   for (let count = 0; count < group.retryPolicy.maxTries(group.endpoints.length) && left(deadline) > 0;) {
     if (waits.isDropped) return { ...last, cause: 'left' }
-    const target = await nextTarget(group, { mustLead, freshness, newestCommit, team: gate.team?.id, mayForward, tried, leftMs: left(deadline) })
+    const target = await nextTarget(group, { mustLead, freshness, newestCommit, team: gate.team?.id, mayForward, tried, remainingMs: left(deadline) })
     const waited = await waitForTarget(target, full, waits)
     if (typeof waited !== 'string') return { ...last, ...waited }
     if (waited === 'anew') clearAll(tried, full)
@@ -150,8 +150,8 @@
 }
 
 async function fetchToken (gate: Gate, { route, deadline }: Operation): Promise<Refusal | undefined> {
-  const leftMs = left(deadline)
-  return await gate.fetchToken(Math.min(route.aimMs * TOKEN_SHARE, leftMs), leftMs * SILENT_ISSUER_SHARE)
+  const remainingMs = left(deadline)
+  return await gate.fetchToken(Math.min(route.aimMs * TOKEN_WAIT_SHARE, remainingMs), remainingMs * SILENT_ISSUER_SHARE)
 }
 
 /** Endings after which the statement may have run. */
@@ -163,13 +163,13 @@
   const team = gate.team?.id
   const connectionPool = group.connectionPool(target.endpoint)
   if (connectionPool === undefined) return { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS }
-  const borrowed = await connectionPool.borrow({ rank: route.rank, caller: team ?? database, team, leftMs: left(deadline), aimMs: left(deadline) - route.statementTimeoutMs + route.aimMs * START_SHARE, isTransaction: isInTransaction, values, gone })
+  const borrowed = await connectionPool.borrow({ rank: route.rank, caller: team ?? database, team, remainingMs: left(deadline), aimMs: left(deadline) - route.statementTimeoutMs + route.aimMs * START_SHARE, isTransaction: isInTransaction, values, gone })
   if (borrowed.isOk()) return Attempt.on(group, connectionPool, borrowed.value, gate)
   return { fault: 'busy', retryAfterMs: borrowed.error.retryAfterMs, cause: CAUSES[borrowed.error.reason] }
 }
 
 async function forward (ctx: PoolContext, group: PoolGroup, host: PoolHost, { database, deadline, key }: Operation): Promise<Attempt | Refusal> {
-  const dialled = await ctx.dialHost(host, database, key, Math.min(FORWARD_DIAL_MS, left(deadline)))
+  const dialled = await ctx.dialHost(host, database, key, Math.min(FORWARD_DIAL_TIMEOUT_MS, left(deadline)))
   return dialled.isOk() ? Attempt.on(group, ForwardedSource.by(host), dialled.value) : { fault: 'busy', retryAfterMs: LEADERLESS_RETRY_MS, cause: 'unreachable' }
 }
 
--- a/src/shell/pool/watchers.ts
+++ b/src/shell/pool/watchers.ts
@@ -3,7 +3,7 @@
 import type { EndpointId } from '../../core/id/endpoint.ts'
 
 export class Watchers {
-  private readonly watching = new Map<EndpointId, Set<() => void>>()
+  private readonly listeners = new Map<EndpointId, Set<() => void>>()
 
   private constructor () {}
 
@@ -12,16 +12,16 @@
   }
 
   /** Calls the listener when the endpoint becomes unreachable. Returns a function that removes the listener. */
-  watch (id: EndpointId, onOut: () => void): () => void {
-    const watchers = this.watching.get(id) ?? new Set()
-    this.watching.set(id, watchers.add(onOut))
+  watch (id: EndpointId, listener: () => void): () => void {
+    const current = this.listeners.get(id) ?? new Set()
+    this.listeners.set(id, current.add(listener))
     return () => {
-      watchers.delete(onOut)
-      if (watchers.size === 0) this.watching.delete(id)
+      current.delete(listener)
+      if (current.size === 0) this.listeners.delete(id)
     }
   }
 
   notify (id: EndpointId): void {
-    for (const onOut of [...this.watching.get(id) ?? []]) onOut()
+    for (const listener of [...this.listeners.get(id) ?? []]) listener()
   }
 }
