--- a/src/shell/pool/connections/borrowrequest.ts
+++ b/src/shell/pool/connections/borrowrequest.ts
@@ -1,4 +1,4 @@
-/** An operation that waits for a connection to an endpoint. */
+/** A request of an operation for a connection to an endpoint. */
 
 import type { Result } from 'neverthrow'
 import type { Instant } from '../../../core/id/instant.ts'
@@ -6,20 +6,20 @@
 import type { SessionState } from '../../../core/session/sessionstate.ts'
 import type { EndpointLink } from './link.ts'
 
-interface Wish {
+interface BorrowOptions {
   readonly rank: number
-  /** Who shares fairly with others. */
+  /** The unit of fair sharing. */
   readonly caller: string
-  /** Whose connections serve it; undefined where they serve anybody. */
+  /** The team whose connections serve it; undefined where connections serve anyone. */
   readonly team: TeamId | undefined
-  /** Milliseconds in which the operation is to be done. */
-  readonly leftMs: number
-  /** Milliseconds within which it's best started; none are left once they are negative. */
+  /** Milliseconds until the operation's deadline. */
+  readonly remainingMs: number
+  /** Milliseconds within which it must start to meet its latency aim; negative once that has passed. */
   readonly aimMs?: number
   readonly isTransaction: boolean
-  /** A connection in the same state is preferred. */
+  /** Session values; a connection with the same values is preferred. */
   readonly values: SessionState
-  /** Aborted once nobody waits for it any more; undefined where it's lent all the same. */
+  /** Aborted once the caller no longer waits; undefined where the request isn't cancelled then. */
   readonly gone?: AbortSignal | undefined
 }
 
@@ -30,7 +30,7 @@
 
 export interface BorrowRequest {
   readonly id: number
-  readonly wish: Wish
+  readonly wish: BorrowOptions
   readonly deadline: Instant
   readonly answer: (lent: Result<EndpointLink, Refusal>) => void
 }
--- a/src/shell/pool/connections/places.ts
+++ b/src/shell/pool/connections/places.ts
@@ -1,4 +1,4 @@
-/** The places of one endpoint that this host may use, given out as the core decides. */
+/** This host's places (permits for one statement or opening each) at one endpoint, granted in the order that `PlaceScheduler` decides. */
 
 import type { CallerId } from '../../../core/id/caller.ts'
 import type { EndpointId } from '../../../core/id/endpoint.ts'
@@ -19,46 +19,46 @@
 
 interface Options {
   readonly endpoint: EndpointId
-  /** As the endpoint tells. */
+  /** Number of places as the endpoint reports. */
   readonly places: number
-  /** Those that wait for a connection, and so for a place after it. */
+  /** Number of operations that wait for a connection, and will need a place after it. */
   readonly queued: () => number
   readonly others: OthersLoad
-  /** How the endpoint answered lately, for the reports. */
+  /** Recent answers of the endpoint, for load reports. */
   readonly answers: () => Pick<ResponseStats, 'answerMs' | 'failing'>
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly chance: () => number
 }
 
-interface Wish {
+interface PlaceRequest {
   readonly rank: number
   readonly caller: string
   readonly what: PlaceOrder['what']
-  /** Milliseconds in which it's to be done. */
-  readonly leftMs: number
-  /** Until when it's best started; undefined where that plays no part. */
+  /** Milliseconds until its deadline. */
+  readonly remainingMs: number
+  /** Latest start at which the operation meets its latency aim; undefined where aims aren't considered. */
   readonly aim?: Instant | undefined
 }
 
 type PlaceEnding = Ending | 'done' | 'notSent'
 type Settle = (isGranted: boolean) => void
 
-/** How often what waits is looked through, and the limit with it. */
-const TICK_MS = 10
-/** At most one line in this time says that the endpoint refuses for want of room, and one that something couldn't have a place in time. */
+/** Interval of checking the queue and the limit. */
+const TICK_INTERVAL_MS = 10
+/** Shortest time between two log lines of the same kind. */
 const LOG_INTERVAL_MS = 5000
-/** Endings without an answer: the true time is longer than it was waited for. */
+/** Endings without an answer, for which the measured time is only a lower bound. */
 const UNANSWERED: ReadonlySet<PlaceEnding> = new Set<PlaceEnding>(['broken', 'outOfTime'])
 
 export class Places {
-  private readonly gate = PlaceScheduler.create()
+  private readonly scheduler = PlaceScheduler.create()
   private readonly limit: PlaceLimit
   private readonly pending = new Map<number, Settle>()
   private nextId = 1
-  private readonly ticker = Ticker.create(TICK_MS, () => this.step({ kind: 'tick' }))
-  private shedAt = -Infinity as Instant
-  private refusedAt = -Infinity as Instant
+  private readonly ticker = Ticker.create(TICK_INTERVAL_MS, () => this.step({ kind: 'tick' }))
+  private shedLoggedAt = -Infinity as Instant
+  private refusedLoggedAt = -Infinity as Instant
   private refused = 0
   private places: number
 
@@ -71,25 +71,25 @@
     return new Places(options)
   }
 
-  /** Statements and openings that wait for a place, those without a connection left out. */
+  /** Number of statements and openings that wait for a place, without those that wait for a connection. */
   get waiting (): number {
-    return this.gate.waiting
+    return this.scheduler.waiting
   }
 
-  /** What this host has at the endpoint. */
+  /** This host's load at the endpoint. */
   load (): EndpointLoad {
     const { endpoint, queued } = this.options
     const now = clock.now()
     const answers = this.options.answers()
-    return { endpoint, atWork: this.gate.atWork, waiting: this.gate.waiting + queued(), answerMs: answers.answerMs(now), failing: answers.failing(now) }
+    return { endpoint, atWork: this.scheduler.atWork, waiting: this.scheduler.waiting + queued(), answerMs: answers.answerMs(now), failing: answers.failing(now) }
   }
 
-  /** How long an opening takes of a place, in milliseconds. */
+  /** Milliseconds for which an opening occupies a place. */
   get openingMs (): number {
-    return this.gate.openingMs(clock.now())
+    return this.scheduler.openingMs(clock.now())
   }
 
-  /** The endpoint tells another number of places. */
+  /** Takes in the number of places that the endpoint reports. */
   resize (places: number): void {
     if (places === this.places) return
     this.places = places
@@ -98,7 +98,7 @@
     this.step({ kind: 'tick' })
   }
 
-  requestPlace ({ rank, caller, what, leftMs, aim }: Wish): PlaceTicket {
+  requestPlace ({ rank, caller, what, remainingMs, aim }: PlaceRequest): PlaceTicket {
     const id = this.nextId++
     const since = clock.now()
     let grantedAt: Instant | undefined
@@ -107,7 +107,7 @@
       this.options.metrics.placeSeconds.observe({ what }, (clock.now() - since) / 1000)
       resolve(isGranted)
     }))
-    this.step({ kind: 'arrived', order: { id, rank, caller: caller as CallerId, deadline: since + leftMs as Instant, aim, what } })
+    this.step({ kind: 'arrived', order: { id, rank, caller: caller as CallerId, deadline: since + remainingMs as Instant, aim, what } })
     const giveBack = (ending: PlaceEnding) => {
       if (grantedAt === undefined) return this.cancel(id)
       const ms = clock.now() - grantedAt
@@ -118,7 +118,7 @@
     return { granted, cancel: () => this.cancel(id), returnPlace: giveBack }
   }
 
-  /** Tells all that wait that the endpoint is out of reach. */
+  /** Refuses all that wait, because the endpoint is unreachable. */
   refuseWaiting (): void {
     this.step({ kind: 'unreachable' })
   }
@@ -143,37 +143,37 @@
   }
 
   private step (event: PlaceEvent): void {
-    const { gate, options: { others, endpoint, queued } } = this
+    const { scheduler, options: { others, endpoint, queued } } = this
     const now = clock.now()
-    const demand = gate.atWork + gate.waiting + queued() + (event.kind === 'arrived' ? 1 : 0)
+    const demand = scheduler.atWork + scheduler.waiting + queued() + (event.kind === 'arrived' ? 1 : 0)
     const limit = this.limit.at(demand, others.at(endpoint, now), now)
-    for (const { kind, id } of gate.step(event, limit, now)) {
+    for (const { kind, id } of scheduler.step(event, limit, now)) {
       const settle = this.pending.get(id)
       this.pending.delete(id)
       if (kind === 'refuse') this.recordRefused(now)
       settle?.(kind === 'start')
     }
-    if (this.gate.waiting > 0) this.ticker.run()
+    if (this.scheduler.waiting > 0) this.ticker.run()
     else this.ticker.stop()
   }
 
-  /** The endpoint has more to do than it takes: other hosts are there too. */
+  /** Lowers the limit after the endpoint refused a statement because it's full. */
   private recordShed (now: Instant): void {
     const { metrics, log, endpoint } = this.options
     this.limit.backOff(now)
     metrics.placesShed.inc()
-    if (now - this.shedAt < LOG_INTERVAL_MS) return
-    this.shedAt = now
-    log.write('endpointFull', { endpoint, atWork: this.gate.atWork, waiting: this.gate.waiting })
+    if (now - this.shedLoggedAt < LOG_INTERVAL_MS) return
+    this.shedLoggedAt = now
+    log.write('endpointFull', { endpoint, atWork: this.scheduler.atWork, waiting: this.scheduler.waiting })
   }
 
   private recordRefused (now: Instant): void {
     const { metrics, log, endpoint } = this.options
     metrics.placesRefused.inc()
     this.refused++
-    if (now - this.refusedAt < LOG_INTERVAL_MS) return
-    log.write('placesRefused', { endpoint, count: this.refused, atWork: this.gate.atWork, waiting: this.gate.waiting })
-    this.refusedAt = now
+    if (now - this.refusedLoggedAt < LOG_INTERVAL_MS) return
+    log.write('placesRefused', { endpoint, count: this.refused, atWork: this.scheduler.atWork, waiting: this.scheduler.waiting })
+    this.refusedLoggedAt = now
     this.refused = 0
   }
 }
--- a/src/shell/pool/group.ts
+++ b/src/shell/pool/group.ts
@@ -1,4 +1,4 @@
-/** What this host knows of one group, and its connections to the group's endpoints. */
+/** State of one group as this host knows it, and its connections to the group's endpoints. */
 
 import type { Directory } from '../../core/directory/directory.ts'
 import type { Endpoint } from '../../core/directory/endpoint.ts'
@@ -36,8 +36,8 @@
 import { Outage } from './failover/outage.ts'
 import { Watchers } from './watchers.ts'
 
-const PATIENT = PatientRetryPolicy.create()
-const PROMPT = FailFastRetryPolicy.create()
+const PATIENT_POLICY = PatientRetryPolicy.create()
+const FAIL_FAST_POLICY = FailFastRetryPolicy.create()
 
 interface Options {
   readonly id: GroupId
@@ -46,43 +46,43 @@
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly chance: () => number
-  /** When the process started. */
+  /** When this process started. */
   readonly startedAt: Instant
 }
 
-/** An endpoint that this host has no connections to. */
+/** Counts for an endpoint that this host has no connections to. */
 const NO_CONNECTIONS: ConnectionPool['stats'] = { connections: 0, atWork: 0, waiting: [] }
 
-/** The only place where the group's pure values are replaced. */
+/** Holds the group's immutable values and replaces them as events come in. */
 export class PoolGroup {
   private readonly connectionPools = new Map<EndpointId, ConnectionPool>()
-  private readonly standings = new Map<EndpointId, LogState>()
-  private readonly contacts = new Map<EndpointId, Reachability>()
-  /** Where reads go. */
+  private readonly logStates = new Map<EndpointId, LogState>()
+  private readonly reachabilities = new Map<EndpointId, Reachability>()
+  /** Chooses endpoints for reads. */
   readonly readRouter: ReadRouter
-  /** Endpoints that were logged as out of reach. */
+  /** Endpoints that were logged as unreachable. */
   private readonly unreached = new Set<EndpointId>()
   private directory: Directory = Endpoints.empty
   private leadership: Leadership
   private progress = LogProgress.empty
-  private share: EndpointShare = { connections: 1, isOwner: false, hasRoom: false, otherOwners: [] }
-  /** The newest that was announced; an old one concerns an endpoint that doesn't lead any more. */
+  private share: EndpointShare = { connections: 1, isOwner: false, hasSpareConnections: false, otherOwners: [] }
+  /** The last that was announced; it may be about an endpoint that is no longer the primary. */
   private handover: Handover | undefined
-  private reach = ReachingHosts.none
+  private reachingHosts = ReachingHosts.none
   private readonly service = ServiceTime.create()
-  /** Who asked what of it lately. */
+  /** Recent statements by team. */
   readonly usage = GroupUsage.create(clock.now())
-  /** For those who wait for a leader. */
+  /** Wakes statements that wait for a primary. */
   readonly outage: Outage
-  /** What the other owners have at the endpoints. */
+  /** The load that the other owners report. */
   readonly sharedLoad = SharedLoad.create()
-  /** For those who wait for an answer of an endpoint. */
+  /** Notifies statements in progress when their endpoint becomes unreachable. */
   readonly watchers = Watchers.create()
 
   private constructor (private readonly options: Options) {
     this.leadership = Leadership.create(options.id, clock.now())
     this.outage = Outage.create(options.id, options.log)
-    this.readRouter = ReadRouter.create(options, () => this.readsView())
+    this.readRouter = ReadRouter.create(options, () => this.readView())
     this.readRouter.setOthersLoad(this.sharedLoad)
   }
 
@@ -106,7 +106,7 @@
     return this.directory.group(this.options.id)
   }
 
-  /** Endpoints that are listed, and the leader also when it isn't. */
+  /** Listed endpoints, and the primary even if it isn't listed. */
   get knownEndpoints (): ReadonlyArray<Pick<Endpoint, 'id'>> {
     const { leader, endpoints } = this
     const isListed = leader === undefined || endpoints.some(({ id }) => id === leader)
@@ -117,7 +117,7 @@
     return this.share.isOwner
   }
 
-  /** What this host has at each endpoint, for operators. */
+  /** This host's connections, running and waiting statements at each endpoint, for operators. */
   get endpointStats (): LoadSnapshot['groups'][number]['endpoints'] {
     return this.endpoints.map(({ id, isLeaving, places }) => {
       const { connections, atWork, waiting } = this.connectionPools.get(id)?.stats ?? NO_CONNECTIONS
@@ -129,47 +129,47 @@
     return this.directory.get(id)
   }
 
-  contact (id: EndpointId): Reachability {
-    return this.contacts.get(id) ?? Reachability.none
+  reachability (id: EndpointId): Reachability {
+    return this.reachabilities.get(id) ?? Reachability.none
   }
 
-  /** Another host reaches the endpoint. */
+  /** Records that another host reaches the endpoint. */
   recordReachableVia (id: EndpointId, host: PoolHost): void {
-    this.reach = this.reach.with(id, host, clock.now())
+    this.reachingHosts = this.reachingHosts.with(id, host, clock.now())
   }
 
-  /** A host that reached the endpoint lately, in this data centre if there is one; undefined when none did. */
+  /** A host that recently reached the endpoint, preferably in this data centre; undefined if none did. */
   hostReaching (id: EndpointId | undefined): PoolHost | undefined {
-    const hosts = id === undefined ? [] : this.reach.hosts(id, clock.now())
+    const hosts = id === undefined ? [] : this.reachingHosts.hosts(id, clock.now())
     return hosts.find(({ dataCentre }) => dataCentre === this.options.dataCentre) ?? hosts[0]
   }
 
-  /** Whether there is a leader that this host doesn't reach. */
+  /** Whether there is a primary that this host doesn't reach. */
   isLeaderUnreachable (): boolean {
-    return this.leader !== undefined && this.contact(this.leader).isFailing(clock.now())
+    return this.leader !== undefined && this.reachability(this.leader).isFailing(clock.now())
   }
 
-  /** Milliseconds without a known leader. */
+  /** Milliseconds without a known primary. */
   leaderlessMs (): number {
     return this.leadership.leaderlessMs(clock.now())
   }
 
-  /** The same; undefined while one is known. */
+  /** The same; undefined while a primary is known. */
   get missingMs (): number | undefined {
     return this.leader === undefined ? this.leaderlessMs() : undefined
   }
 
-  /** Which statements wait for what they lack: only where the group's owners are picked, so that each of them knows what is under way. */
+  /** Which statements wait for a missing resource. They only do where the group has assigned owners, since each owner then knows the load. */
   get retryPolicy (): RetryPolicy {
-    return this.share.hasRoom ? PATIENT : PROMPT
+    return this.share.hasSpareConnections ? PATIENT_POLICY : FAIL_FAST_POLICY
   }
 
-  /** This host's connections to an endpoint. */
+  /** The number of connections that this host may have to an endpoint. */
   get connections (): number {
     return this.share.connections
   }
 
-  /** What a statement takes here from its sending to its answer, in milliseconds. */
+  /** Recent time from sending a statement to its answer, in milliseconds. */
   get serviceMs (): number {
     return this.service.at(clock.now())
   }
@@ -178,18 +178,19 @@
     return this.options.chance
   }
 
-  /** A statement was done, so long after it was sent. */
+  /** Records a statement that was done `ms` after it was sent. */
   recordServiceTime (ms: number): void {
     this.service.add(ms, clock.now())
   }
 
+  /** Takes in a change of the directory; drops the state of endpoints that are gone or were replaced. */
   updateDirectory (directory: Directory): void {
     const before = this.directory
     this.directory = directory
     this.setLeadership(this.leadership.directoryChanged(before, directory), 'directory')
-    for (const { id, startedAtMs: bornAt } of this.endpoints) {
+    for (const { id, startedAtMs } of this.endpoints) {
       const old = before.get(id)
-      if (old !== undefined && old.startedAtMs !== bornAt) this.removeEndpoint(id)
+      if (old !== undefined && old.startedAtMs !== startedAtMs) this.removeEndpoint(id)
     }
     for (const { id, places } of this.endpoints) this.connectionPools.get(id)?.resize(this.share, places)
     const ids = new Set(this.endpoints.map(({ id }) => id))
@@ -198,92 +199,95 @@
     }
   }
 
-  /** Takes another share of each endpoint's connections. */
-  setShare (dealt: EndpointShare): void {
-    const { connections, isOwner } = dealt
+  /** Changes this host's share of each endpoint's connections. */
+  setShare (share: EndpointShare): void {
+    const { connections, isOwner } = share
     if (connections !== this.share.connections) this.options.log.write('shareDealt', { group: this.id, connections, isOwner })
-    this.share = dealt
-    this.sharedLoad.setOwners(dealt.otherOwners)
-    for (const [id, lender] of this.connectionPools) lender.resize(dealt, this.directory.get(id)?.places ?? lender.endpoint.places)
+    this.share = share
+    this.sharedLoad.setOwners(share.otherOwners)
+    for (const [id, connectionPool] of this.connectionPools) connectionPool.resize(share, this.directory.get(id)?.places ?? connectionPool.endpoint.places)
   }
 
   setHandover (handover: Handover): void {
     this.handover = handover
   }
 
-  /** Who must have received a commit of the endpoint before it's acknowledged; undefined when nobody must. */
+  /** The endpoint that must have received a commit of `endpoint` before it's acknowledged; undefined outside of a handover. */
   successorOf (endpoint: EndpointId): EndpointId | undefined {
     return this.handover?.affects(endpoint) === true ? this.handover.successor : undefined
   }
 
-  /** The connections to the endpoint; undefined for one that isn't listed. */
+  /** The connection pool of the endpoint, created on first use; undefined for an endpoint that isn't listed. */
   connectionPool (id: EndpointId): ConnectionPool | undefined {
-    const known = this.connectionPools.get(id)
-    if (known !== undefined) return known
+    const existing = this.connectionPools.get(id)
+    if (existing !== undefined) return existing
     const endpoint = this.directory.get(id)
     if (endpoint === undefined) return undefined
     const { dialer, chance, startedAt } = this.options
-    const { share: dealt, share: { hasRoom }, options: { log, metrics } } = this
+    const { share, share: { hasSpareConnections }, options: { log, metrics } } = this
     const count = (places: number, queued: () => number) => Places.create({ endpoint: id, places, queued, others: this.sharedLoad, answers: () => this.readRouter.answers(id), log, metrics, chance })
-    const onDialled = (outcome: 'opened' | DialFault) => this.recordDial(id, outcome)
-    const lender = ConnectionPool.create({ endpoint, dialer, chance, thrift: hasRoom ? ConnectionScarcity.none : ConnectionScarcity.started(startedAt), share: dealt, count, onDialEnded: onDialled })
-    this.connectionPools.set(id, lender)
-    return lender
+    const onDialEnded = (outcome: 'opened' | DialFault) => this.recordDial(id, outcome)
+    const connectionPool = ConnectionPool.create({ endpoint, dialer, chance, scarcity: hasSpareConnections ? ConnectionScarcity.none : ConnectionScarcity.started(startedAt), share, count, onDialEnded })
+    this.connectionPools.set(id, connectionPool)
+    return connectionPool
   }
 
-  /** What this host has at the group's endpoints, as far as it counts that. */
+  /** This host's load at the group's endpoints, for those where it's counted. */
   get loads (): readonly EndpointLoad[] {
     return [...this.connectionPools.values()].flatMap(({ load }) => load ?? [])
   }
 
-  /** The position that a read of the age must find; undefined when only the primary can serve it. */
-  requiredPosition (own: Token, ageMs: number): Token | undefined {
-    return this.progress.requiredPosition(own, ageMs, clock.age())
+  /** The log position that a read of at most `ageMs` staleness requires; undefined if only the primary can serve it. */
+  requiredPosition (newestCommit: Token, ageMs: number): Token | undefined {
+    return this.progress.requiredPosition(newestCommit, ageMs, clock.age())
   }
 
-  /** How long ago the primary's position was last asked for, in milliseconds; undefined when it never was. */
+  /** Milliseconds since the primary's position was last asked for; undefined if it never was. */
   markAgeMs (): number | undefined {
     return this.progress.markAgeMs(clock.age())
   }
 
-  /** The endpoint answered; `isLead`: in a way that only a primary can. */
+  /** Records an answer of the endpoint; `isLead`: only a primary can give this answer. */
   answered (id: EndpointId, position: Token | undefined, sentAt: Instant, isLead: boolean): void {
     this.recordReached(id, clock.now())
     if (position === undefined) return
-    this.standings.set(id, this.standing(id).answered(position, clock.now()))
+    this.logStates.set(id, this.logState(id).answered(position, clock.now()))
     if (isLead) this.progress = this.progress.with(position, sentAt)
     this.readRouter.answered(id, position)
     if (!isLead) return
     this.setLeadership(this.leadership.proved(id, position.term), 'proof')
   }
 
-  /** The endpoint says of itself that it leads the term; weaker than a proof, so it marks no position. */
+  /** The endpoint reports itself as the primary of the term. This is weaker than a proof, so it sets no position. */
   recordLeaderClaim (id: EndpointId, term: number): void {
     if (term < this.progress.term) return
     this.setLeadership(this.leadership.proved(id, term), 'status')
   }
 
+  /** Records that the endpoint refused a read because its log was behind the required position. */
   recordBehind (id: EndpointId): void {
-    this.standings.set(id, this.standing(id).withRefusal(clock.now()))
+    this.logStates.set(id, this.logState(id).withRefusal(clock.now()))
     this.readRouter.recordBehind(id)
   }
 
+  /** Records that the endpoint refused a statement because it isn't the primary. */
   recordNotPrimary (id: EndpointId): void {
     this.setLeadership(this.leadership.refused(id, clock.now()), 'refusal')
   }
 
-  /** Something was sent to the endpoint. */
+  /** Records that something was sent to the endpoint. */
   recordRequest (id: EndpointId): void {
-    const contact = this.contact(id)
-    const next = contact.asked(clock.now())
-    if (next !== contact) this.contacts.set(id, next)
+    const reachability = this.reachability(id)
+    const next = reachability.asked(clock.now())
+    if (next !== reachability) this.reachabilities.set(id, next)
   }
 
+  /** Records a request without an answer in time, or a connection that broke or couldn't be opened. */
   recordNoAnswer (id: EndpointId): void {
     const now = clock.now()
-    const contact = this.contact(id).failed(now)
-    this.contacts.set(id, contact)
-    if (!contact.isFailing(now)) return
+    const reachability = this.reachability(id).failed(now)
+    this.reachabilities.set(id, reachability)
+    if (!reachability.isFailing(now)) return
     if (id === this.leader) this.outage.begin()
     this.connectionPools.get(id)?.refuseWaiting()
     this.watchers.notify(id)
@@ -298,33 +302,33 @@
 
   private recordDial (id: EndpointId, outcome: 'opened' | DialFault): void {
     this.options.metrics.dials.inc({ outcome })
-    // An endpoint that takes no more connections answers, and so lives; one that ends them without a word shows neither.
+    // An endpoint that reports too many connections is alive; one that closes them silently may be alive or dead.
     if (outcome === 'opened' || outcome === 'tooManyConnections') this.recordReached(id, clock.now())
     else if (outcome !== 'turnedAway') this.recordNoAnswer(id)
   }
 
   private recordReached (id: EndpointId, now: Instant): void {
-    const wasOut = id === this.leader && this.isLeaderUnreachable()
-    this.contacts.set(id, this.contact(id).reached(now))
-    if (wasOut) this.outage.end()
+    const wasUnreachable = id === this.leader && this.isLeaderUnreachable()
+    this.reachabilities.set(id, this.reachability(id).reached(now))
+    if (wasUnreachable) this.outage.end()
     if (this.unreached.delete(id)) this.options.log.write('endpointReachable', { endpoint: id, group: this.id })
   }
 
-  private readsView (): ReturnType<Parameters<typeof ReadRouter.create>[1]> {
+  private readView (): ReturnType<Parameters<typeof ReadRouter.create>[1]> {
     const now = clock.now()
     return {
       endpoints: this.endpoints,
       primary: this.leader,
       progress: this.progress,
-      isShared: this.share.hasRoom,
-      standing: id => this.standing(id),
-      lender: id => this.connectionPools.get(id),
-      isReachable: id => !this.contact(id).isUnreachable(now)
+      isShared: this.share.hasSpareConnections,
+      standing: id => this.logState(id),
+      connectionPool: id => this.connectionPools.get(id),
+      isReachable: id => !this.reachability(id).isUnreachable(now)
     }
   }
 
-  private standing (id: EndpointId): LogState {
-    return this.standings.get(id) ?? LogState.unknown
+  private logState (id: EndpointId): LogState {
+    return this.logStates.get(id) ?? LogState.unknown
   }
 
   private setLeadership (next: Leadership, cause: string): void {
@@ -340,9 +344,9 @@
   private removeEndpoint (id: EndpointId): void {
     this.connectionPools.get(id)?.close()
     this.connectionPools.delete(id)
-    this.standings.delete(id)
+    this.logStates.delete(id)
     this.readRouter.removeEndpoint(id)
-    this.contacts.delete(id)
+    this.reachabilities.delete(id)
     this.unreached.delete(id)
   }
 }
--- a/src/shell/pool/groups.ts
+++ b/src/shell/pool/groups.ts
@@ -1,4 +1,4 @@
-/** The groups that the configuration names, who owns them, and who replaces their primaries. */
+/** The configured groups, their owners, and the failover of their primaries. */
 
 import type { Directory } from '../../core/directory/directory.ts'
 import type { GroupId } from '../../core/id/group.ts'
@@ -19,17 +19,17 @@
 
 interface Options {
   readonly self: PoolHost
-  /** Milliseconds for which an endpoint serves after it said that it leaves. */
+  /** Milliseconds for which an endpoint keeps serving after it announced that it leaves. */
   readonly drainMs: number
-  /** Where what hosts tell each other through the store lies. */
+  /** The store table that all hosts share. */
   readonly table: string
-  /** Where a team's sessions meet if few owners are picked. */
+  /** Which owners serve a team's sessions where a group has few owners. */
   readonly affinity?: TeamAffinity | undefined
   readonly platform: Platform
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly chance: () => number
-  /** When the process started. */
+  /** When this process started. */
   readonly startedAt: Instant
   readonly config: () => PoolConfig
   readonly directory: () => Directory
@@ -41,7 +41,7 @@
   private readonly groups = new Map<GroupId, PoolGroup>()
   private readonly places = new Map<GroupId, GroupPlaces>()
   private readonly failovers = new Map<GroupId, FailoverController>()
-  /** Rows of the shared table that came before the configuration named their group. */
+  /** Rows of the shared table by key, kept for groups that aren't configured yet. */
   private readonly sharedRows = new Map<string, Row>()
   private ownerships = Ownerships.none
 
@@ -63,24 +63,24 @@
     return this.ownerships.get(id)
   }
 
-  /** The directory says something new. */
+  /** Takes in a change of the directory. */
   updateDirectory (): void {
     const directory = this.options.directory()
     for (const group of this.groups.values()) group.updateDirectory(directory)
     if (this.updatePlaces()) this.assignOwners()
   }
 
-  /** The configuration changed. */
+  /** Takes in a change of the configuration. */
   applyConfig (): void {
-    const wanted = new Set(this.options.config().groups.map(({ id }) => id))
+    const configuredIds = new Set(this.options.config().groups.map(({ id }) => id))
     for (const [id, group] of this.groups) {
-      if (wanted.has(id)) continue
+      if (configuredIds.has(id)) continue
       group.close()
       this.groups.delete(id)
       this.places.delete(id)
       this.failovers.delete(id)
     }
-    for (const id of wanted) {
+    for (const id of configuredIds) {
       if (this.groups.has(id)) continue
       const { self, platform, log, metrics, chance, startedAt, directory } = this.options
       const group = PoolGroup.create({ id, dataCentre: self.dataCentre, dialer: platform.dialer, log, metrics, chance, startedAt })
@@ -92,7 +92,7 @@
     this.assignOwners()
   }
 
-  /** A row that hosts write for each other; those of other kinds are passed over. */
+  /** Takes in a row of the shared table; ignores rows of other kinds. */
   applySharedRow (row: Row): void {
     const [kind, name] = row.key.split('/')
     if (kind === 'lease' || kind === 'handover') this.sharedRows.set(row.key, row)
@@ -106,42 +106,42 @@
     for (const successor of this.failovers.values()) successor.tick()
   }
 
-  /** Works out anew who owns which group. */
+  /** Recomputes the owners of each group. */
   assignOwners (): void {
-    const { self, config, hosts, affinity: meeting = singleOwnerAffinity } = this.options
+    const { self, config, hosts, affinity = singleOwnerAffinity } = this.options
     const { groups, teams } = config()
-    const sized = groups.map(({ id, connections }) => ({ id, connections, places: this.places.get(id) ?? GroupPlaces.none }))
+    const groupSizes = groups.map(({ id, connections }) => ({ id, connections, places: this.places.get(id) ?? GroupPlaces.none }))
     const before = this.ownerships
-    this.ownerships = Ownerships.of(sized, hosts(), teams !== undefined, meeting)
+    this.ownerships = Ownerships.of(groupSizes, hosts(), teams !== undefined, affinity)
     for (const { id } of groups) {
       const ownership = this.ownerships.get(id)!
       this.logOwners(id, before.get(id), ownership)
       const isOwner = ownership.isOwner(self.id)
-      const isPicked = isOwner && ownership.hasSpareConnections
-      const others = isPicked ? ownership.owners.filter(owner => owner.id !== self.id) : []
-      this.groups.get(id)?.setShare({ connections: isOwner ? ownership.connectionsPerOwner : 1, isOwner, hasRoom: isPicked, otherOwners: others })
+      const isAssigned = isOwner && ownership.hasSpareConnections
+      const others = isAssigned ? ownership.owners.filter(owner => owner.id !== self.id) : []
+      this.groups.get(id)?.setShare({ connections: isOwner ? ownership.connectionsPerOwner : 1, isOwner, hasSpareConnections: isAssigned, otherOwners: others })
     }
   }
 
-  /** Written by owners only: with hundreds of hosts that each write whenever one comes or goes, nobody could read it. */
-  private logOwners (group: GroupId, before: Ownership | undefined, { owners, connectionsPerOwner: share, hasSpareConnections: hasRoom }: Ownership): void {
+  /** Only owners log a change of owners, since hundreds of hosts would each log every host that comes or goes. */
+  private logOwners (group: GroupId, before: Ownership | undefined, { owners, connectionsPerOwner, hasSpareConnections }: Ownership): void {
     const { self, log } = this.options
     const namesOf = (hosts: readonly PoolHost[]) => hosts.map(({ id }) => id).sort().join(' ')
     const isConcerned = [...owners, ...before?.owners ?? []].some(({ id }) => id === self.id)
-    if (!hasRoom || !isConcerned || namesOf(owners) === namesOf(before?.owners ?? [])) return
-    log.write('ownersPicked', { group, owners: namesOf(owners), connections: share })
+    if (!hasSpareConnections || !isConcerned || namesOf(owners) === namesOf(before?.owners ?? [])) return
+    log.write('ownersPicked', { group, owners: namesOf(owners), connections: connectionsPerOwner })
   }
 
-  /** Whether more places were seen of any group. */
+  /** Updates the number of places of each group; returns whether one changed. */
   private updatePlaces (): boolean {
-    let isNews = false
+    let isChanged = false
     for (const [id, { endpoints }] of this.groups) {
       const before = this.places.get(id) ?? GroupPlaces.none
       const next = before.with(endpoints)
       this.places.set(id, next)
-      isNews ||= next !== before
+      isChanged ||= next !== before
     }
-    return isNews
+    return isChanged
   }
 
   private createFailover (group: PoolGroup): FailoverController {
--- a/src/shell/pool/membership/endpointlisting.ts
+++ b/src/shell/pool/membership/endpointlisting.ts
@@ -1,4 +1,4 @@
-/** The endpoints that list themselves in the store, as this process has heard of them. */
+/** The endpoints that list themselves in the store, as known to this process. */
 
 import { Directory } from '../../../core/directory/directory.ts'
 import type { Endpoint } from '../../../core/directory/endpoint.ts'
@@ -11,13 +11,13 @@
 interface Options {
   readonly log: Log
   readonly parse: (id: string, text: string) => Endpoint | undefined
-  /** The directory may have changed. */
+  /** Called when the directory may have changed. */
   readonly onChange: () => void
 }
 
 export class EndpointListing {
   private current = Directory.empty
-  private lapses = MissingEndpoints.empty
+  private missingEndpoints = MissingEndpoints.empty
   private wasRead = false
 
   private constructor (private readonly options: Options) {}
@@ -30,21 +30,21 @@
     return this.current
   }
 
-  /** Whether the list was read once. */
+  /** Whether the list was read at least once. */
   get isRead (): boolean {
     return this.wasRead
   }
 
-  /** Rows that changed, erased ones among them. */
+  /** Takes in changed rows, including erased ones. */
   applyRows (rows: readonly Row[]): void {
     for (const row of rows) this.applyRow(row)
     this.wasRead = true
     this.options.onChange()
   }
 
-  /** To be called now and then: drops those that lapsed and didn't come back. */
-  removeLapsed (): void {
-    const due = this.lapses.expired(clock.now())
+  /** Removes endpoints whose rows were erased and didn't come back in time. Must be called regularly. */
+  removeExpired (): void {
+    const due = this.missingEndpoints.expired(clock.now())
     if (due.length === 0) return
     for (const id of due) this.remove(id)
     this.options.onChange()
@@ -60,9 +60,9 @@
       return this.remove(id)
     }
     const old = this.current.get(id)
-    const isNews = old === undefined || old.isLeaving !== endpoint.isLeaving || old.isPrimary !== endpoint.isPrimary || old.startedAtMs !== endpoint.startedAtMs
-    if (isNews) log.write('endpointListed', { endpoint: id, group: endpoint.group, isLeaving: endpoint.isLeaving, isPrimary: endpoint.isPrimary, version })
-    this.lapses = this.lapses.without(id)
+    const isChanged = old === undefined || old.isLeaving !== endpoint.isLeaving || old.isPrimary !== endpoint.isPrimary || old.startedAtMs !== endpoint.startedAtMs
+    if (isChanged) log.write('endpointListed', { endpoint: id, group: endpoint.group, isLeaving: endpoint.isLeaving, isPrimary: endpoint.isPrimary, version })
+    this.missingEndpoints = this.missingEndpoints.without(id)
     this.current = this.current.with(endpoint, version)
   }
 
@@ -71,11 +71,11 @@
     if (endpoint === undefined) return
     this.options.log.write('endpointGone', { endpoint: id, group: endpoint.group, isLeaving: endpoint.isLeaving })
     if (endpoint.isLeaving) this.remove(id)
-    else this.lapses = this.lapses.with(id, clock.now())
+    else this.missingEndpoints = this.missingEndpoints.with(id, clock.now())
   }
 
   private remove (id: EndpointId): void {
-    this.lapses = this.lapses.without(id)
+    this.missingEndpoints = this.missingEndpoints.without(id)
     this.current = this.current.without(id)
   }
 }
--- a/src/shell/pool/membership/tablereplicator.ts
+++ b/src/shell/pool/membership/tablereplicator.ts
@@ -1,4 +1,4 @@
-/** Keeps what this process knows of the store's tables: carries out what its control decides. */
+/** Keeps the store's tables up to date in this process: performs the actions that `TableSync` decides on. */
 
 import { createServer } from 'node:net'
 import { setTimeout as pause } from 'node:timers/promises'
@@ -24,36 +24,36 @@
 interface Options {
   readonly self: PoolHost
   readonly pace: SyncTimings
-  /** Where hosts that the settings name take links. */
+  /** Link addresses of the seed hosts in the settings. */
   readonly seeds: readonly LinkId[]
-  /** Whether the whole system starts for the first time. */
+  /** Whether the whole system starts for the first time, with empty tables. */
   readonly isFirstStart: boolean
   readonly store: RowStore
-  /** What the tables are called in the store. */
+  /** Names of the tables in the store. */
   readonly names: Readonly<Record<TableName, string>>
-  /** Where the copy of the configuration lies. */
+  /** Name of the table with the copy of the configuration. */
   readonly copyTable: string
   readonly log: Log
   readonly metrics: PoolMetrics
   readonly chance: () => number
-  /** Rows changed, erased ones among them; `isFirst`: the table wasn't known before. */
+  /** Called with changed rows, including erased ones; `isFirst`: the table wasn't known before. */
   readonly onRows: (table: TableName, rows: readonly Row[], isFirst: boolean) => void
-  /** The hosts that are alive changed. */
+  /** Called when the list of live hosts changed. */
   readonly onHostsChange: () => void
-  /** Once, when what is known is enough to serve. */
+  /** Called once, when enough is known to serve. */
   readonly onReady: () => void
 }
 
-type Ask = Extract<SyncAction, { kind: 'ask' }>
-type Write = Extract<SyncAction, { kind: 'write' }>
+type AskAction = Extract<SyncAction, { kind: 'ask' }>
+type WriteAction = Extract<SyncAction, { kind: 'write' }>
 
-/** A fifth of the time after which a host counts as silent, with the shortest bounds that are known. */
-const TICK_MS = 100
-/** A host that leaves tells others, or writes to the store, within this time; the shortest grace that is known leaves 0.8 s for all that is done at the end. */
-const LEAVE_MS = 300
-const LEAVE_POLL_MS = 10
-/** The copy is there within this time, on a link of 7 Mbit/s and beside a start's work; later the operator's row is read, which takes 0.4 s on such a link. */
-const COPY_MS = 100
+/** A fifth of the shortest time after which a host counts as silent. */
+const TICK_INTERVAL_MS = 100
+/** Longest time to announce that this host leaves; the shortest grace period leaves 0.8 s for the whole shutdown. */
+const LEAVE_TIMEOUT_MS = 300
+const LEAVE_POLL_INTERVAL_MS = 10
+/** Longest wait for the copy of the configuration before the configuration itself is read. */
+const COPY_TIMEOUT_MS = 100
 
 export class TableReplicator {
   private control: TableSync
@@ -64,8 +64,8 @@
   private isStepping = false
   private wasReady = false
   private readonly failing = new Set<TableName>()
-  private why: Ask['why'] | 'others' = 'others'
-  /** Those who wait for rows that another host has. */
+  private why: AskAction['why'] | 'others' = 'others'
+  /** Wakes calls that wait for newer rows from another host. */
   private readonly waiting = Waiters.create()
 
   private readonly configCopy: ConfigCopy
@@ -75,60 +75,60 @@
     this.configCopy = ConfigCopy.create({ store, table, metrics })
     const { self, pace, seeds, isFirstStart } = options
     const own = linkOf(self)
-    // A host that starts anew contradicts what was said of its life before, whatever the time of day says by then.
+    // A restarted host must override the entry of its earlier incarnation. A higher number is chosen if the clock was set back.
     const entry = { ...self, incarnation: Date.now(), isLeaving: false }
     this.control = TableSync.create({ self: entry, pace, seeds: seeds.filter(seed => seed !== own), isSeed: seeds.includes(own), isFirstStart }, clock.now())
   }
 
   /** Runs until the signal. */
   static start (options: Options, signal: AbortSignal): TableReplicator {
-    const tables = new TableReplicator(options, signal)
-    tables.listen()
-    const timer = setInterval(() => tables.step({ kind: 'tick' }), TICK_MS)
+    const replicator = new TableReplicator(options, signal)
+    replicator.listen()
+    const timer = setInterval(() => replicator.step({ kind: 'tick' }), TICK_INTERVAL_MS)
     signal.addEventListener('abort', () => {
       clearInterval(timer)
-      for (const link of [...tables.sources.values(), ...tables.followers.values()]) link.close()
+      for (const link of [...replicator.sources.values(), ...replicator.followers.values()]) link.close()
     })
-    // At the first start of the whole system nobody has made a copy yet, and each host would ask for it.
-    if (!options.isFirstStart) tables.configCopy.prefetch(signal)
-    tables.step({ kind: 'tick' })
-    return tables
+    // At the first start of the whole system there is no copy yet.
+    if (!options.isFirstStart) replicator.configCopy.prefetch(signal)
+    replicator.step({ kind: 'tick' })
+    return replicator
   }
 
-  /** This host among them, in the order of their ids. */
+  /** The live hosts, including this one, ordered by id. */
   get hosts (): readonly PoolHost[] {
     return this.control.hosts
   }
 
-  /** Whether what is known is enough to serve; once it is, it stays so. */
+  /** Whether enough is known to serve. Stays true once it is. */
   get isReady (): boolean {
     return this.wasReady
   }
 
-  /** Whether every table is known. */
+  /** Whether all tables are known. */
   get isKnown (): boolean {
     return this.control.hasAllTables
   }
 
-  /** Milliseconds for which the table may have been another one in the store. */
+  /** The staleness of the table: milliseconds for which the store may have had a newer one. */
   ageMs (table: TableName): number {
     return this.control.ageMs(table, clock.age())
   }
 
-  /** Resolves once a host that has something newer has told of it, or after the time. */
+  /** Asks a host for newer rows; resolves when some arrive, or after `ms`. */
   async consult (host: PoolHost, ms: number): Promise<void> {
     this.step({ kind: 'consult', link: linkOf(host) })
     await this.waiting.wait(ms)
   }
 
-  /** Tells that this host leaves. */
+  /** Announces that this host leaves. */
   async leave (): Promise<void> {
     this.step({ kind: 'leave' })
-    const until = clock.now() + LEAVE_MS
-    while (this.control.isWriting && clock.now() < until) await pause(LEAVE_POLL_MS)
+    const until = clock.now() + LEAVE_TIMEOUT_MS
+    while (this.control.isWriting && clock.now() < until) await pause(LEAVE_POLL_INTERVAL_MS)
   }
 
-  /** One after the other, since what an event brings about may be another event, and words must leave in their order. */
+  /** Handles events one at a time, since an action may cause another event, and messages must be sent in order. */
   private step (event: SyncEvent): void {
     if (this.signal.aborted) return
     this.events.push(event)
@@ -146,13 +146,13 @@
   }
 
   private act (action: SyncAction): void {
-    const { log, onRows: onNews, onHostsChange: onHosts } = this.options
+    const { log, onRows, onHostsChange } = this.options
     switch (action.kind) {
       case 'news': {
-        onNews(action.table, action.rows, action.isFirst)
+        onRows(action.table, action.rows, action.isFirst)
         return this.waiting.wake()
       }
-      case 'hosts': return onHosts()
+      case 'hosts': return onHostsChange()
       case 'ask': {
         this.ask(action)
         return
@@ -181,29 +181,27 @@
     }
   }
 
-  private async ask ({ table, after, waitMs, why }: Ask): Promise<void> {
+  private async ask ({ table, after, waitMs, why }: AskAction): Promise<void> {
     const { store, names, metrics, log } = this.options
     if (why !== this.why) log.write('storeAsked', { why, before: this.why })
     this.why = why
-    const askedAt = clock.age()
+    const sentAt = clock.age()
     const copied = table === 'config' && after === undefined ? await this.readCopy() : undefined
-    if (copied !== undefined) return this.step({ kind: 'answered', table, isWhole: true, sentAt: askedAt, ...copied })
+    if (copied !== undefined) return this.step({ kind: 'answered', table, isWhole: true, sentAt, ...copied })
     metrics.storeCalls.inc({ call: after === undefined ? 'read' : 'changes', table, why })
     const answer = after === undefined ? await store.read(names[table], this.signal) : await store.changes(names[table], after, waitMs, this.signal)
     this.recordOutcome(table, answer.isErr() && answer.error !== 'forgotten')
-    if (answer.isOk()) return this.step({ kind: 'answered', table, isWhole: after === undefined, sentAt: askedAt, ...answer.value })
+    if (answer.isOk()) return this.step({ kind: 'answered', table, isWhole: after === undefined, sentAt, ...answer.value })
     this.step({ kind: answer.error === 'forgotten' ? 'forgotten' : 'failed', table })
   }
 
   /**
-   * The configuration by its copy, and what changed since it was as new as it says; undefined when that can't be told, or not soon.
-   *
-   * Guard against a start that waits for the copy in an outage of this system's own tables: the operator's row is there meanwhile. It showed as
-   * 0.75 s, the limit of a call, without service at each of seven hosts.
+   * The configuration from its copy and the changes since then; undefined if the copy is invalid or doesn't arrive in time.
+   * The time limit matters in an outage of the proxy's own tables, during which the operator's table can still be read.
    */
   private async readCopy (): Promise<{ readonly rows: readonly Row[], readonly version: number, readonly storeMs: number } | undefined> {
     const { store, names, metrics } = this.options
-    const copy = await Promise.race([this.configCopy.read(), pause(COPY_MS, undefined)])
+    const copy = await Promise.race([this.configCopy.read(), pause(COPY_TIMEOUT_MS, undefined)])
     if (copy === undefined) return undefined
     metrics.storeCalls.inc({ call: 'changes', table: 'config', why: 'copy' })
     const changed = await store.changes(names.config, copy.version, 0, this.signal)
@@ -221,19 +219,19 @@
     log.write(isFailed ? 'storeFailed' : 'storeBack', { table })
   }
 
-  private async write ({ value, deletedKeys: erased }: Write): Promise<void> {
+  private async write ({ value, deletedKeys }: WriteAction): Promise<void> {
     const { store, names, self, metrics } = this.options
     metrics.storeCalls.inc({ call: 'write', table: 'roll', why: 'roll' })
     const own = { table: names.roll, key: registryRow.keyOf(self.id), value }
-    const written = await store.change([own, ...erased.map(key => ({ table: names.roll, key, value: undefined }))], this.signal)
+    const written = await store.change([own, ...deletedKeys.map(key => ({ table: names.roll, key, value: undefined }))], this.signal)
     this.step({ kind: 'written', isDone: written.isOk() })
   }
 
   private open (link: LinkId): void {
     const opened = MessageLink.dial(link, {
       onOpen: () => this.step({ kind: 'opened', link }),
-      onMessage: word => {
-        if (word.kind === 'rows' || word.kind === 'beat' || word.kind === 'welcome') this.step({ kind: 'told', link, message: word })
+      onMessage: message => {
+        if (message.kind === 'rows' || message.kind === 'beat' || message.kind === 'welcome') this.step({ kind: 'told', link, message })
       },
       onEnd: () => {
         this.sources.delete(link)
@@ -249,8 +247,8 @@
     const server = createServer(socket => {
       const link = ++this.links
       this.followers.set(link, MessageLink.of(socket, {
-        onMessage: word => {
-          if (word.kind === 'follow' || word.kind === 'alive') this.step({ kind: 'spoke', link, message: word })
+        onMessage: message => {
+          if (message.kind === 'follow' || message.kind === 'alive') this.step({ kind: 'spoke', link, message })
         },
         onEnd: () => {
           this.followers.delete(link)
--- a/src/shell/pool/statements/receipt.ts
+++ b/src/shell/pool/statements/receipt.ts
@@ -1,4 +1,4 @@
-/** Whether the endpoint that a leaving primary hands over to has received a commit. */
+/** Checks whether the successor of a leaving primary has received a commit. */
 
 import { setTimeout as pause } from 'node:timers/promises'
 import type { EndpointId } from '../../../core/id/endpoint.ts'
@@ -20,12 +20,12 @@
   readonly deadline: Instant
 }
 
-/** Between two questions: about the time in which a commit reaches a replica in another data centre. */
+/** Interval of polling the successor: about the time in which a commit reaches a replica in another data centre. */
 const POLL_INTERVAL_MS = 5
-/** An acknowledgement goes before all other work. */
+/** Rank of the status queries, before all other statements. */
 const HIGHEST_RANK = 0
 
-/** Resolves with false when that can't be told within the time; the commit then is in doubt. */
+/** Resolves with false if receipt can't be confirmed in time; the commit is then in doubt. */
 export async function isReceived (options: Options): Promise<boolean> {
   const { commit, deadline } = options
   while (left(deadline) > 0) {
@@ -38,10 +38,10 @@
 }
 
 async function statusOf ({ group, successor, database, team, deadline }: Options) {
-  const lender = group.connectionPool(successor)
-  const borrowed = await lender?.borrow({ rank: HIGHEST_RANK, caller: team ?? database, team, leftMs: left(deadline), isTransaction: false, values: SessionState.empty() })
-  if (lender === undefined || borrowed?.isOk() !== true) return undefined
-  const attempt = Attempt.on(group, lender, borrowed.value)
+  const pool = group.connectionPool(successor)
+  const borrowed = await pool?.borrow({ rank: HIGHEST_RANK, caller: team ?? database, team, remainingMs: left(deadline), isTransaction: false, values: SessionState.empty() })
+  if (pool === undefined || borrowed?.isOk() !== true) return undefined
+  const attempt = Attempt.on(group, pool, borrowed.value)
   const answer = await attempt.ask([{ kind: 'status' }], 0, left(deadline), false)
   attempt.release()
   return typeof answer === 'string' ? undefined : answer.status
