--- a/scenarios/world/proxy.ts
+++ b/scenarios/world/proxy.ts
@@ -32,7 +32,7 @@
 
 type Settings = ReturnType<ReturnType<typeof parseSettings>['_unsafeUnwrap']>
 type Host = ReturnType<Platform['list']>[number]
-type ConfigFrame = Parameters<ConfigFollower['take']>[1]
+type ConfigFrame = Parameters<ConfigFollower['receive']>[1]
 
 interface Options {
   readonly process: Process
@@ -76,7 +76,7 @@
       deadlineMs: settings.requests.deadline,
       now: () => process.now(),
       metrics: { requests: { inc: (labels: { kind: string, place: string }) => options.onRequest(labels.kind, labels.place) } } as unknown as CallerContext['metrics'],
-      audit: { begin: () => ({ attempted: () => undefined, end: done => done }), flush: async () => undefined }
+      audit: { begin: () => ({ addAttempt: () => undefined, end: done => done }), flush: async () => undefined }
     }
     this.context = needed as CallerContext
     this.reads = Reads.create(this.context)
@@ -121,7 +121,7 @@
       log: this.log,
       now: () => process.now(),
       chance: () => process.chance.next(),
-      tell: (host, body) => this.tellConfig(host, body),
+      send: (host, body) => this.tellConfig(host, body),
       onApply: config => {
         onVersion(this.id, config.version)
         this.useConfig(config)
@@ -132,7 +132,7 @@
   private tellConfig (host: HostId, body: ConfigFrame): void {
     this.links.get(host)?.tell(() => {
       const peer = this.options.peer(host)
-      peer?.configs.take(this.id, body, reply => peer.tellConfig(this.id, reply))
+      peer?.configs.receive(this.id, body, reply => peer.tellConfig(this.id, reply))
     })
   }
 
@@ -174,7 +174,7 @@
 
   private useHosts (hosts: readonly Host[]): void {
     this.hosts = hosts
-    this.configs.useHosts(hosts)
+    this.configs.setHosts(hosts)
     for (const { id } of hosts) this.link(id)
     if (this.configs.config !== undefined) this.place(this.configs.config)
   }
@@ -211,7 +211,7 @@
       process,
       peer: node,
       slots: () => peer(id)?.slots,
-      onLinked: () => this.configs.linked(id)
+      onLinked: () => this.configs.onLinked(id)
     }))
   }
 
--- a/src/cli/patch.ts
+++ b/src/cli/patch.ts
@@ -5,7 +5,7 @@
 import { command, number, option, optional, positional, string } from 'cmd-ts'
 import type { ConfigVersion } from '../core/id/version.ts'
 import { Submission } from '../shell/config/submission.ts'
-import type { Verdict } from '../shell/config/verdict.ts'
+import type { SubmissionResult } from '../shell/config/submissionresult.ts'
 import { openConfigStore } from './configstore.ts'
 import { exit } from './exit.ts'
 import { options } from './options.ts'
@@ -49,7 +49,7 @@
   }
 })
 
-function outcomeOf (verdict: Verdict, file: string, id: string): { readonly code: Exit, readonly text: string } {
+function outcomeOf (verdict: SubmissionResult, file: string, id: string): { readonly code: Exit, readonly text: string } {
   switch (verdict.kind) {
     case 'accepted': return { code: exit.done, text: `version ${verdict.version} accepted` }
     case 'outdated': return {
--- a/src/shell/audit/audit.ts
+++ b/src/shell/audit/audit.ts
@@ -6,7 +6,7 @@
 import type { Identity } from '../caller/identity.ts'
 import type { Target } from '../caller/target.ts'
 
-interface Asked {
+interface AuditedRequest {
   readonly sql: string
   readonly kind: string
   readonly identity: Identity
@@ -18,14 +18,14 @@
 
 interface Trail {
   /** Takes in an attempt that began at the instant and has ended now. */
-  attempted (target: Target, done: Done, began: Instant): void
+  addAttempt (target: Target, done: Done, began: Instant): void
   /** Takes in the outcome. Yields what the caller is told: the text of an error names the record's id. */
   end (done: Done): Done
 }
 
 /** Records requests. Nothing here waits or fails, so that no request depends on it. */
 export interface Audit {
-  begin (asked: Asked): Trail
+  begin (asked: AuditedRequest): Trail
   /** Writes what is in memory and ends the process's chain; resolves within `ms`, also when the store is down. */
   flush (ms: number): Promise<void>
 }
--- a/src/shell/audit/key.ts
+++ b/src/shell/audit/batchkey.ts
@@ -11,7 +11,7 @@
 
 const HOUR_MS = 3_600_000
 const TIME_DIGITS = 13
-const SHAPE = /^audit\/[\d-]+\/\d\d\/([^/]+)\/([0-9a-f]+)\/(\d{13})-(\d{9})-(\d+)-(\d+)\.jsonl\.gz$/
+const KEY_PATTERN = /^audit\/[\d-]+\/\d\d\/([^/]+)\/([0-9a-f]+)\/(\d{13})-(\d{9})-(\d+)-(\d+)\.jsonl\.gz$/
 
 /** A batch's name in the store, taken apart. Immutable. */
 export class BatchKey {
@@ -27,13 +27,13 @@
 
   static of ({ fields: { host, incarnation, cutAt, sequence, first, last } }: Batch): BatchKey {
     const prefix = BatchKey.processPrefix(cutAt, host, incarnation)
-    const text = `${prefix}${digits(cutAt)}-${String(sequence).padStart(9, '0')}-${first}-${last}.jsonl.gz`
+    const text = `${prefix}${padTime(cutAt)}-${String(sequence).padStart(9, '0')}-${first}-${last}.jsonl.gz`
     return new BatchKey(text, host, incarnation, cutAt, sequence, first, last)
   }
 
   /** Undefined when the text isn't a batch's key. */
   static parse (text: string): BatchKey | undefined {
-    const match = SHAPE.exec(text)
+    const match = KEY_PATTERN.exec(text)
     if (match === null) return undefined
     const [, host, incarnation, ...numbers] = match
     const [cutAt, sequence, first, last] = numbers.map(Number) as [number, number, number, number]
@@ -52,7 +52,7 @@
 
   /** Lists that begin after this hold what the process cut at `at` or later in that hour. */
   static before (at: number, host: string, incarnation: string): string {
-    return BatchKey.processPrefix(at, host, incarnation) + digits(at)
+    return BatchKey.processPrefix(at, host, incarnation) + padTime(at)
   }
 
   /** The starts of the hours from one time to another, both included. */
@@ -62,11 +62,11 @@
     return Array.from({ length: count }, (_, i) => (start + i) * HOUR_MS)
   }
 
-  holds (id: AuditId): boolean {
+  mayContain (id: AuditId): boolean {
     return this.first > 0 && this.first <= id.count && id.count <= this.last
   }
 }
 
-function digits (at: number): string {
+function padTime (at: number): string {
   return String(at).padStart(TIME_DIGITS, '0')
 }
--- a/src/shell/audit/batches.ts
+++ b/src/shell/audit/batchwriter.ts
@@ -9,9 +9,9 @@
 import type { Log } from '../log/log.ts'
 import type { BoundedStore } from '../platform/boundedstore.ts'
 import type { ObjectStore } from '../platform/objectstore.ts'
-import { StoreFull } from '../platform/storefull.ts'
+import { StoreFullError } from '../platform/storefullerror.ts'
 import { digest } from './digest.ts'
-import { BatchKey } from './key.ts'
+import { BatchKey } from './batchkey.ts'
 import type { auditMetrics } from './metrics.ts'
 
 interface Options {
@@ -26,7 +26,7 @@
 }
 
 /** A cut batch, compressed: an outage of the store then fits into a tenth of the memory. */
-interface Packed {
+interface PackedBatch {
   readonly key: string
   readonly sequence: number
   readonly entries: number
@@ -34,19 +34,19 @@
   readonly body: Buffer
 }
 
-const TICKS_PER_AGE = 4
-const RETRY_MS = 500
+const TICKS_PER_BATCH_AGE = 4
+const RETRY_DELAY_MS = 500
 /** The oldest batches that are dropped at once from a full store, so that it isn't full again with the next one. */
-const DROPPED = 100
-const ALL = 'audit/'
+const BATCHES_PER_DROP = 100
+const AUDIT_PREFIX = 'audit/'
 const compress = promisify(gzip)
 
-export class Batches {
+export class BatchWriter {
   private readonly batcher: Batcher
-  private readonly queue: Packed[] = []
+  private readonly queue: PackedBatch[] = []
   private packing: Promise<void> = Promise.resolve()
   private storing: Promise<void> | undefined
-  private reported = 0
+  private reportedDrops = 0
   private isFailing = false
   private isClosed = false
 
@@ -55,15 +55,15 @@
     this.batcher = Batcher.create({ host, incarnation, limits, digest })
   }
 
-  static start (options: Options, signal: AbortSignal): Batches {
-    const it = new Batches(options, signal)
-    const ticker = setInterval(() => it.tick(), options.limits.ageMs / TICKS_PER_AGE)
+  static start (options: Options, signal: AbortSignal): BatchWriter {
+    const it = new BatchWriter(options, signal)
+    const ticker = setInterval(() => it.tick(), options.limits.ageMs / TICKS_PER_BATCH_AGE)
     ticker.unref()
     signal.addEventListener('abort', () => clearInterval(ticker), { once: true })
     return it
   }
 
-  keep (record: AuditRecord): void {
+  add (record: AuditRecord): void {
     const { metrics } = this.options
     if (this.isClosed) return metrics.audit.dropped.inc()
     metrics.audit.records.inc()
@@ -87,9 +87,9 @@
     const { metrics, log } = this.options
     this.enqueue(this.batcher.tick(Date.now()))
     metrics.audit.waiting.set(this.batcher.waiting)
-    const count = this.batcher.dropped - this.reported
+    const count = this.batcher.dropped - this.reportedDrops
     if (count === 0) return
-    this.reported += count
+    this.reportedDrops += count
     metrics.audit.dropped.inc(count)
     log.write('recordsDropped', { count })
   }
@@ -107,12 +107,12 @@
   private async storeAll (): Promise<void> {
     while (this.queue.length > 0 && !this.signal.aborted) {
       if (await this.store(this.queue[0]!)) this.queue.shift()
-      else await pause(RETRY_MS)
+      else await pause(RETRY_DELAY_MS)
     }
   }
 
   /** A put whose answer was lost is repeated: the same bytes under the same key. */
-  private async store ({ key, sequence, entries, hash, body }: Packed): Promise<boolean> {
+  private async store ({ key, sequence, entries, hash, body }: PackedBatch): Promise<boolean> {
     const { store, log, metrics } = this.options
     try {
       await store.put(key, body)
@@ -125,7 +125,7 @@
     } catch (err) {
       if (!this.isFailing) log.write('batchFailed', { err: (err as Error).message })
       this.isFailing = true
-      if (err instanceof StoreFull && 'drop' in store) await this.makeRoom(store)
+      if (err instanceof StoreFullError && 'drop' in store) await this.makeRoom(store)
       return false
     }
   }
@@ -134,7 +134,7 @@
   private async makeRoom (store: BoundedStore): Promise<void> {
     const { log, metrics } = this.options
     try {
-      const oldest = await store.list(ALL, '', DROPPED)
+      const oldest = await store.list(AUDIT_PREFIX, '', BATCHES_PER_DROP)
       for (const key of oldest) await store.drop(key)
       metrics.audit.removed.inc(oldest.length)
       log.write('batchesRemoved', { batches: oldest.length, newest: oldest.at(-1) ?? 'none' })
@@ -144,7 +144,7 @@
   }
 }
 
-async function pack (batch: Batch): Promise<Packed> {
+async function pack (batch: Batch): Promise<PackedBatch> {
   const { sequence, lines, hash } = batch.fields
   return { key: BatchKey.of(batch).text, sequence, entries: lines.length, hash, body: await compress(batch.text) }
 }
--- a/src/shell/audit/burn.ts
+++ b/src/shell/audit/burn.ts
@@ -6,7 +6,7 @@
 import { MinuteCounts } from '../../core/burn/minutecounts.ts'
 import type { ObjectStore } from '../platform/objectstore.ts'
 import { digest } from './digest.ts'
-import { BatchKey } from './key.ts'
+import { BatchKey } from './batchkey.ts'
 import type { AuditReader } from './reader.ts'
 
 interface Options {
@@ -20,7 +20,7 @@
 
 const HOUR_MS = 3_600_000
 /** After so long the processes' batches of an hour are in the store, but for outages. */
-const SETTLED_MS = 60_000
+const WRITE_DELAY_MS = 60_000
 
 /**
  * Reads batches, newest hour first, until `most` are read. The counts of an
@@ -34,19 +34,19 @@
 }
 
 class Measurement {
-  private readonly tallies: readonly MinuteCounts[]
+  private readonly minuteCounts: readonly MinuteCounts[]
   private readonly gaps: Array<Counts['gaps'][number]> = []
   private readonly unreadable: string[] = []
   private readonly prefix: string
   private left: number
   private records = 0
-  private there = 0
-  private taken = 0
+  private batchesFound = 0
+  private batchesCounted = 0
   private oldest: number | undefined
 
   private constructor (private readonly options: Options) {
     const { levels, now, most } = options
-    this.tallies = levels.map(level => MinuteCounts.create(level, now, BurnReport.spanMs))
+    this.minuteCounts = levels.map(level => MinuteCounts.create(level, now, BurnReport.spanMs))
     this.prefix = `burn/${digest(JSON.stringify(levels))}/`
     this.left = most
   }
@@ -59,22 +59,22 @@
     const { now, reader } = this.options
     for (const hour of BatchKey.hours(now - BurnReport.spanMs, now).toReversed()) {
       const keys = await reader.keys(hour, Math.min(hour + HOUR_MS - 1, now))
-      this.there += keys.length
-      if (keys.length > 0) await this.takeHour(hour, keys)
+      this.batchesFound += keys.length
+      if (keys.length > 0) await this.addHour(hour, keys)
     }
-    const { records, oldest, unreadable, gaps, taken, there } = this
-    return BurnReport.of({ now, oldest, records, batchesRead: taken, batchesThere: there, unreadable, gaps }, this.tallies)
+    const { records, oldest, unreadable, gaps, batchesCounted: taken, batchesFound: there } = this
+    return BurnReport.of({ now, oldest, records, batchesRead: taken, batchesThere: there, unreadable, gaps }, this.minuteCounts)
   }
 
-  private async takeHour (hour: number, keys: readonly BatchKey[]): Promise<void> {
+  private async addHour (hour: number, keys: readonly BatchKey[]): Promise<void> {
     const kept = await this.kept(hour)
-    if (kept !== undefined && kept.batches === keys.length) return this.take(kept)
+    if (kept !== undefined && kept.batches === keys.length) return this.addCounts(kept)
     const newest = [...keys].sort((a, b) => b.cutAt - a.cutAt).slice(0, this.left)
     this.left -= newest.length
     const counts = await this.count(newest)
-    this.take(counts)
-    const isOver = hour + HOUR_MS + SETTLED_MS < this.options.now
-    if (isOver && counts.batches === keys.length) await this.keep(hour, counts)
+    this.addCounts(counts)
+    const isOver = hour + HOUR_MS + WRITE_DELAY_MS < this.options.now
+    if (isOver && counts.batches === keys.length) await this.storeCounts(hour, counts)
   }
 
   private async count (keys: readonly BatchKey[]): Promise<Counts> {
@@ -87,13 +87,13 @@
     return counts
   }
 
-  private take (counts: Counts): void {
+  private addCounts (counts: Counts): void {
     const { oldest } = counts
-    this.taken += counts.batches
+    this.batchesCounted += counts.batches
     this.records += counts.records
     this.gaps.push(...counts.gaps)
     if (oldest !== undefined) this.oldest = Math.min(this.oldest ?? oldest, oldest)
-    for (const [i, tally] of this.tallies.entries()) tally.add(counts.minutesOf(i))
+    for (const [i, tally] of this.minuteCounts.entries()) tally.add(counts.minutesOf(i))
   }
 
   private async kept (hour: number): Promise<Counts | undefined> {
@@ -102,7 +102,7 @@
   }
 
   /** Who may only read the store gets the same report, by reading all batches each time. */
-  private async keep (hour: number, counts: Counts): Promise<void> {
+  private async storeCounts (hour: number, counts: Counts): Promise<void> {
     const body = new TextEncoder().encode(JSON.stringify(counts))
     await this.options.store.put(this.keyOf(hour), body).catch(() => undefined)
   }
--- a/src/shell/audit/check.ts
+++ b/src/shell/audit/check.ts
@@ -3,13 +3,13 @@
 import { checkPromises } from '../../core/audit/promises.ts'
 import { checkSequence } from '../../core/audit/sequence.ts'
 import { digest } from './digest.ts'
-import type { BatchKey } from './key.ts'
+import type { BatchKey } from './batchkey.ts'
 import type { AuditReader } from './reader.ts'
 
 type Read = Awaited<ReturnType<AuditReader['readAll']>>[number]
 type Page = ReturnType<Read['page']['_unsafeUnwrap']>
 
-interface Named {
+interface KeyedPage {
   readonly key: string
   readonly page: Page
 }
@@ -25,15 +25,15 @@
 }
 
 /** Clocks of two hosts may differ by so much. */
-const SKEW_MS = 100
+const MAX_CLOCK_SKEW_MS = 100
 
 export function checkRecords (reads: readonly Read[]): Report {
   const unreadable = reads.flatMap(({ key, page }) => page.isErr() ? [`${key.text}: ${page.error}`] : [])
-  const misnamed = reads.flatMap(({ key, page }) => page.isOk() ? misnaming(key, page.value) : [])
+  const misnamed = reads.flatMap(({ key, page }) => page.isOk() ? keyMismatches(key, page.value) : [])
   const pages = reads.flatMap(({ key, page }) => page.isOk() ? [{ key: key.text, page: page.value }] : [])
   const chains = chainsOf(pages).map(chain => checkSequence(digest, chain))
   const records = pages.flatMap(({ page }) => page.fields.records)
-  const { kept, broken } = checkPromises(records, SKEW_MS)
+  const { kept, broken } = checkPromises(records, MAX_CLOCK_SKEW_MS)
   return {
     batches: reads.length,
     records: records.length,
@@ -45,14 +45,14 @@
 }
 
 /** Against a batch that was put in another's place: its text says another process or number than its name. */
-function misnaming (key: BatchKey, { fields: { header } }: Page): string[] {
+function keyMismatches (key: BatchKey, { fields: { header } }: Page): string[] {
   const isAgreed = header.host === key.host && header.incarnation === key.incarnation && header.sequence === key.sequence
   return isAgreed ? [] : [`${key.text}: it holds batch ${header.sequence} of ${header.host}/${header.incarnation}: batches were exchanged`]
 }
 
 /** The batches of each process, in the order of their numbers. */
-function chainsOf (pages: readonly Named[]): ReadonlyArray<readonly Named[]> {
-  const chains = new Map<string, Named[]>()
+function chainsOf (pages: readonly KeyedPage[]): ReadonlyArray<readonly KeyedPage[]> {
+  const chains = new Map<string, KeyedPage[]>()
   for (const one of pages) {
     const { host, incarnation } = one.page.fields.header
     const name = `${host}/${incarnation}`
--- a/src/shell/audit/open.ts
+++ b/src/shell/audit/open.ts
@@ -5,7 +5,7 @@
 import { S3Store } from '../platform/s3store.ts'
 import type { Audit } from './audit.ts'
 import { Recorder } from './recorder.ts'
-import { silentAudit } from './silent.ts'
+import { noopAudit } from './noop.ts'
 
 type Settings = ReturnType<ReturnType<typeof parseSettings>['_unsafeUnwrap']>
 type Options = Omit<Parameters<typeof Recorder.start>[0], 'host' | 'store' | 'limits'> & { readonly settings: Settings }
@@ -18,7 +18,7 @@
  */
 export function openAudit ({ settings, incarnation, ...rest }: Options): Audit {
   const { audit, host, platform } = settings
-  if (!audit.enabled) return silentAudit
+  if (!audit.enabled) return noopAudit
   const signal = new AbortController().signal
   const { objectStore: url, bucket, region, timeout: timeoutMs } = platform
   return Recorder.start({
--- a/src/shell/audit/reader.ts
+++ b/src/shell/audit/reader.ts
@@ -8,26 +8,26 @@
 import type { AuditRecord } from '../../core/audit/record.ts'
 import type { ObjectStore } from '../platform/objectstore.ts'
 import { digest } from './digest.ts'
-import { BatchKey } from './key.ts'
+import { BatchKey } from './batchkey.ts'
 
-interface Found {
+interface FoundRecord {
   readonly record: AuditRecord
   readonly key: string
   /** What doesn't agree in its batch. */
   readonly problems: readonly string[]
 }
 
-interface Read {
+interface BatchRead {
   readonly key: BatchKey
   readonly page: Result<Page, string>
 }
 
-const LIST_MOST = 1000
+const MAX_LISTED_KEYS = 1000
 /** Batches that may hold a record: those cut next after it arrived. */
-const NEXT = 100
+const MAX_CANDIDATE_BATCHES = 100
 /** Hours after its arrival in which a record's batch is looked for; a request's deadline is far shorter. */
-const HOURS_ON = 1
-const AT_ONCE = 16
+const EXTRA_HOURS = 1
+const MAX_PARALLEL_READS = 16
 const HOUR_MS = 3_600_000
 const expand = promisify(gunzip)
 
@@ -40,16 +40,16 @@
   }
 
   /** One list and one read, as a rule; the error says in a line why there is no record. */
-  async find (id: AuditId): Promise<Result<Found, string>> {
-    const keys = await this.keysAfter(id)
-    for (const key of keys.filter(one => one.holds(id))) {
+  async find (id: AuditId): Promise<Result<FoundRecord, string>> {
+    const keys = await this.candidateKeys(id)
+    for (const key of keys.filter(one => one.mayContain(id))) {
       const page = await this.read(key)
       if (page.isErr()) return err(`${key.text}: ${page.error}`)
       const { records, problems } = page.value.fields
       const record = records.find(one => one.fields.id === id.toString())
       if (record !== undefined) return ok({ record, key: key.text, problems })
     }
-    return err(await this.whyNone(id, keys))
+    return err(await this.explainMissing(id, keys))
   }
 
   /** Keys of all batches cut from one time to another, in order of their processes. */
@@ -60,15 +60,15 @@
   }
 
   /** The batches of the keys, in their order, a few at a time. */
-  async * batches (keys: readonly BatchKey[]): AsyncGenerator<Read> {
-    for (let i = 0; i < keys.length; i += AT_ONCE) {
-      const some = keys.slice(i, i + AT_ONCE)
+  async * batches (keys: readonly BatchKey[]): AsyncGenerator<BatchRead> {
+    for (let i = 0; i < keys.length; i += MAX_PARALLEL_READS) {
+      const some = keys.slice(i, i + MAX_PARALLEL_READS)
       yield * await Promise.all(some.map(async key => ({ key, page: await this.read(key) })))
     }
   }
 
-  async readAll (keys: readonly BatchKey[]): Promise<readonly Read[]> {
-    const reads: Read[] = []
+  async readAll (keys: readonly BatchKey[]): Promise<readonly BatchRead[]> {
+    const reads: BatchRead[] = []
     for await (const read of this.batches(keys)) reads.push(read)
     return reads
   }
@@ -81,22 +81,22 @@
     return Page.parse(digest, text).mapErr(problem => `the batch is damaged: ${problem}`)
   }
 
-  private async keysAfter ({ at, host, incarnation }: AuditId): Promise<readonly BatchKey[]> {
-    const first = await this.list(BatchKey.processPrefix(at, host, incarnation), BatchKey.before(at, host, incarnation), NEXT)
-    if (first.length === NEXT) return first
-    const next = await Promise.all(Array.from({ length: HOURS_ON }, async (_, i) =>
-      await this.list(BatchKey.processPrefix(at + (i + 1) * HOUR_MS, host, incarnation), '', NEXT)))
+  private async candidateKeys ({ at, host, incarnation }: AuditId): Promise<readonly BatchKey[]> {
+    const first = await this.list(BatchKey.processPrefix(at, host, incarnation), BatchKey.before(at, host, incarnation), MAX_CANDIDATE_BATCHES)
+    if (first.length === MAX_CANDIDATE_BATCHES) return first
+    const next = await Promise.all(Array.from({ length: EXTRA_HOURS }, async (_, i) =>
+      await this.list(BatchKey.processPrefix(at + (i + 1) * HOUR_MS, host, incarnation), '', MAX_CANDIDATE_BATCHES)))
     return [...first, ...next.flat()]
   }
 
   /** A record that isn't there was dropped, was taken away, or never got to the store. */
-  private async whyNone (id: AuditId, after: readonly BatchKey[]): Promise<string> {
-    for (const { page } of await this.readAll(after.slice(0, AT_ONCE))) {
+  private async explainMissing (id: AuditId, after: readonly BatchKey[]): Promise<string> {
+    for (const { page } of await this.readAll(after.slice(0, MAX_PARALLEL_READS))) {
       const gap = page.isOk() ? page.value.fields.gaps.find(one => one.from <= id.at && id.at <= one.to) : undefined
       if (gap !== undefined) return `no record: the process dropped ${gap.count} records around that time, for want of room`
     }
     const all = await this.listAll(BatchKey.processPrefix(id.at, id.host, id.incarnation))
-    const missing = holes([...all, ...after])
+    const missing = missingSequences([...all, ...after])
     if (missing.length > 0) return `no record: batch ${missing.join(', ')} of ${id.host}/${id.incarnation} is missing from the store`
     if (all.length + after.length === 0) return `no record: the store has no batch of ${id.host}/${id.incarnation} from that hour`
     return 'no record: it is not written yet (ask again in some seconds), or its process ended before it was'
@@ -105,9 +105,9 @@
   private async listAll (prefix: string): Promise<readonly BatchKey[]> {
     const keys: BatchKey[] = []
     for (;;) {
-      const some = await this.list(prefix, keys.at(-1)?.text ?? '', LIST_MOST)
+      const some = await this.list(prefix, keys.at(-1)?.text ?? '', MAX_LISTED_KEYS)
       keys.push(...some)
-      if (some.length < LIST_MOST) return keys
+      if (some.length < MAX_LISTED_KEYS) return keys
     }
   }
 
@@ -117,7 +117,7 @@
 }
 
 /** Numbers that are absent among the batches of one process. */
-function holes (keys: readonly BatchKey[]): readonly number[] {
+function missingSequences (keys: readonly BatchKey[]): readonly number[] {
   const seen = new Set(keys.map(key => key.sequence))
   const least = Math.min(...seen)
   const most = Math.max(...seen)
--- a/src/shell/audit/recorder.ts
+++ b/src/shell/audit/recorder.ts
@@ -7,10 +7,10 @@
 import type { ConfigVersion } from '../../core/id/version.ts'
 import { freshnessOf } from '../caller/freshness.ts'
 import type { Audit } from './audit.ts'
-import { Batches } from './batches.ts'
+import { BatchWriter } from './batchwriter.ts'
 import { RequestTrail } from './trail.ts'
 
-type Options = Parameters<typeof Batches.start>[0] & {
+type Options = Parameters<typeof BatchWriter.start>[0] & {
   readonly configVersion: () => ConfigVersion | undefined
   readonly now: () => Instant
 }
@@ -19,10 +19,10 @@
 export class Recorder implements Audit {
   private count = 0
 
-  private constructor (private readonly options: Options, private readonly batches: Batches) {}
+  private constructor (private readonly options: Options, private readonly batches: BatchWriter) {}
 
   static start (options: Options, signal: AbortSignal): Recorder {
-    return new Recorder(options, Batches.start(options, signal))
+    return new Recorder(options, BatchWriter.start(options, signal))
   }
 
   begin ({ sql, kind, identity, hints, once, deadline }: Parameters<Audit['begin']>[0]): ReturnType<Audit['begin']> {
@@ -41,13 +41,13 @@
       config: configVersion() ?? 0,
       kind,
       read: kind === 'read' ? fields.read : undefined,
-      freshness: kind === 'read' ? textOf(freshnessOf(identity, hints)) : undefined,
+      freshness: kind === 'read' ? freshnessText(freshnessOf(identity, hints)) : undefined,
       class: fields.class ?? 'normal',
       once: once === '' ? undefined : once,
       statement: fingerprint(sql),
       deadlineMs: Math.round(deadline - began)
     })
-    return RequestTrail.begin({ record, began, now, keep: one => this.batches.keep(one) })
+    return RequestTrail.begin({ record, began, now, onRecord: one => this.batches.add(one) })
   }
 
   async flush (ms: number): Promise<void> {
@@ -55,6 +55,6 @@
   }
 }
 
-function textOf (freshness: ReturnType<typeof freshnessOf>): string {
+function freshnessText (freshness: ReturnType<typeof freshnessOf>): string {
   return freshness.kind === 'age' ? `${freshness.ms}ms` : freshness.kind
 }
--- a/src/shell/audit/trail.ts
+++ b/src/shell/audit/trail.ts
@@ -15,7 +15,7 @@
   readonly began: Instant
   readonly now: () => Instant
   /** Takes the finished record. */
-  readonly keep: (record: AuditRecord) => void
+  readonly onRecord: (record: AuditRecord) => void
 }
 
 const ACCESS = {
@@ -47,14 +47,14 @@
     return new RequestTrail(options)
   }
 
-  attempted (target: Target, done: Done, began: Instant): void {
+  addAttempt (target: Target, done: Done, began: Instant): void {
     const isPlaced = target.kind === 'endpoint'
     this.record = this.record.withAttempt({
       endpoint: isPlaced ? target.endpoint : '',
       access: isPlaced ? ACCESS[target.access] : 'none',
       transaction: isPlaced && target.transaction !== '' ? target.transaction : undefined,
-      startMs: tenths(began - this.options.began),
-      tookMs: tenths(this.options.now() - began),
+      startMs: roundToTenths(began - this.options.began),
+      tookMs: roundToTenths(this.options.now() - began),
       outcome: OUTCOME[done.outcome],
       reason: done.reason,
       code: done.code === 0 ? undefined : done.code,
@@ -64,8 +64,8 @@
   }
 
   end (done: Done): Done {
-    const { now, began, keep } = this.options
-    keep(this.record.withOutcome(OUTCOME[done.outcome], tenths(now() - began)))
+    const { now, began, onRecord: keep } = this.options
+    keep(this.record.withOutcome(OUTCOME[done.outcome], roundToTenths(now() - began)))
     if (done.outcome === DoneOutcome.DONE) return done
     return { ...done, message: `${done.message} (request ${this.record.fields.id})` }
   }
@@ -86,6 +86,6 @@
 }
 
 /** A tenth of a millisecond is as fine as an explanation needs, and shorter to keep. */
-function tenths (ms: number): number {
+function roundToTenths (ms: number): number {
   return Math.round(ms * 10) / 10
 }
--- a/src/shell/caller/attempts.ts
+++ b/src/shell/caller/attempts.ts
@@ -108,7 +108,7 @@
   }
 
   private hearUnroutable (reason: ReasonName): void {
-    this.trail.attempted({ kind: 'nowhere', reason }, refusal(0, reason), this.began)
+    this.trail.addAttempt({ kind: 'nowhere', reason }, refusal(0, reason), this.began)
     this.hear({ kind: 'unroutable', reason })
   }
 
@@ -146,7 +146,7 @@
     if (this.attempts.isOver) return
     this.isSent = false
     this.last = done
-    this.trail.attempted(this.target!, done, this.began)
+    this.trail.addAttempt(this.target!, done, this.began)
     if (this.reply.hasStarted) this.hear({ kind: 'rows', attempt })
     this.hear({ kind: 'answered', attempt, outcome: outcomeOf(done), reason: done.reason === '' ? undefined : done.reason as ReasonName })
   }
@@ -155,7 +155,7 @@
     clearTimeout(this.timer)
     this.signal.removeEventListener('abort', this.onLeft)
     this.context.metrics.requests.inc({ kind: this.req.kind, place: placeOf(this.target), outcome: DoneOutcome[done.outcome].toLowerCase() })
-    if (this.isSent) this.trail.attempted(this.target!, done, this.began)
+    if (this.isSent) this.trail.addAttempt(this.target!, done, this.began)
     if (done.outcome === DoneOutcome.DONE) this.context.retryBudget?.recordSuccess()
     this.resolve(this.trail.end(done))
   }
--- a/src/shell/caller/connection.ts
+++ b/src/shell/caller/connection.ts
@@ -141,7 +141,7 @@
     const deadline = context.now()
     const done = refusal(0, reason)
     const trail = context.audit.begin({ ...asked, identity, hints: Hints.parse(asked.sql).withDefaults(this.hints), deadline })
-    trail.attempted({ kind: 'nowhere', reason }, done, deadline)
+    trail.addAttempt({ kind: 'nowhere', reason }, done, deadline)
     return trail.end(done)
   }
 
--- a/src/shell/config/follower.ts
+++ b/src/shell/config/follower.ts
@@ -29,12 +29,12 @@
   readonly now: () => Instant
   readonly chance: () => number
   /** Sends a frame to a host if there is a link to it. */
-  readonly tell: (host: HostId, body: Frame['body']) => void
+  readonly send: (host: HostId, body: Frame['body']) => void
   readonly onApply: (config: Config) => void
 }
 
-const TICK_MS = 500
-const WHOLE = 0 as ConfigVersion
+const TICK_INTERVAL_MS = 500
+const NO_BASE = 0 as ConfigVersion
 
 /** The loop round the core's holder and gossip. */
 export class ConfigFollower {
@@ -44,7 +44,7 @@
   private roles: Roles
   private misses = 0
   /** What peers offered while it wasn't clear yet whether one of them has a higher version. */
-  private early: { readonly candidate: ConfigCandidate, readonly from: HostId } | undefined
+  private earlyOffer: { readonly candidate: ConfigCandidate, readonly from: HostId } | undefined
   private storeProblem = ''
 
   private constructor (private readonly options: Options) {
@@ -55,7 +55,7 @@
   static start (options: Options, signal: AbortSignal): ConfigFollower {
     const it = new ConfigFollower(options)
     it.poll(signal)
-    const tick = setInterval(() => it.tick(), TICK_MS)
+    const tick = setInterval(() => it.tick(), TICK_INTERVAL_MS)
     signal.addEventListener('abort', () => clearInterval(tick), { once: true })
     return it
   }
@@ -79,41 +79,41 @@
     return this.roles.partners
   }
 
-  useHosts (hosts: readonly Host[]): void {
+  setHosts (hosts: readonly Host[]): void {
     this.roles = Roles.of(this.options.self, hosts)
     this.startup = this.startup.withPeers(hosts.filter(host => host.id !== this.options.self).map(host => host.id))
     this.step({ kind: 'members', partners: this.roles.partners })
   }
 
-  linked (host: HostId): void {
+  onLinked (host: HostId): void {
     this.step({ kind: 'linked', host })
   }
 
   /** A frame of the gossip came from a host; `reply` answers on the same link. */
-  take (from: HostId, body: Frame['body'], reply: Reply): void {
+  receive (from: HostId, body: Frame['body'], reply: Reply): void {
     if (body.case === 'configDigest') {
       const version = body.value.version as ConfigVersion
       this.startup = this.startup.answered(from, version)
       this.step({ kind: 'digest', from, version }, reply)
-      this.takeEarly()
+      this.applyEarlyOffer()
     }
-    if (body.case === 'configBody') this.takeBody(from, body.value, reply)
+    if (body.case === 'configBody') this.receiveBody(from, body.value, reply)
   }
 
-  private takeBody (from: HostId, { version, base, json }: ConfigBody, reply: Reply): void {
-    const body = parse(json)
+  private receiveBody (from: HostId, { version, base, json }: ConfigBody, reply: Reply): void {
+    const body = parseJson(json)
     if (body === undefined) return
     const candidate = { version: version as ConfigVersion, base: base as ConfigVersion, body }
     if (this.holder.config !== undefined) return this.offer(candidate, from, reply)
-    if (base === WHOLE && version > (this.early?.candidate.version ?? WHOLE)) this.early = { candidate, from }
+    if (base === NO_BASE && version > (this.earlyOffer?.candidate.version ?? NO_BASE)) this.earlyOffer = { candidate, from }
     this.startup = this.startup.answered(from, candidate.version)
-    this.takeEarly()
+    this.applyEarlyOffer()
   }
 
-  private takeEarly (): void {
-    const { early } = this
+  private applyEarlyOffer (): void {
+    const { earlyOffer: early } = this
     if (early === undefined || !this.startup.canTake(early.candidate.version, this.options.now())) return
-    this.early = undefined
+    this.earlyOffer = undefined
     this.offer(early.candidate, early.from)
   }
 
@@ -133,7 +133,7 @@
   }
 
   private tick (): void {
-    this.takeEarly()
+    this.applyEarlyOffer()
     this.step({ kind: 'tick' })
   }
 
@@ -146,13 +146,13 @@
   private run (action: GossipAction, reply: Reply | undefined): void {
     const body = action.kind === 'digest' ? digestFrame(this.holder.version) : bodyFrame(this.holder.candidateFor(action.base))
     if (body === undefined) return
-    if (reply === undefined) this.options.tell(action.to, body)
+    if (reply === undefined) this.options.send(action.to, body)
     else reply(body)
   }
 
   private async poll (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.ask().catch((err: Error) => this.failed(err))
+      await this.ask().catch((err: Error) => this.onStoreFailure(err))
       const { misses, roles: { isPoller } } = this
       const ms = pollDelayMs({ isPoller, hasConfig: this.config !== undefined, misses }, this.options.chance())
       await new Promise(resolve => { setTimeout(resolve, ms) })
@@ -163,16 +163,16 @@
     const { store } = this.options
     const newest = await store.newest()
     if (newest !== undefined && newest.version > this.holder.version) {
-      const body = parse(await store.document(newest))
-      if (body !== undefined) this.offer({ version: newest.version, base: WHOLE, body }, undefined)
+      const body = parseJson(await store.document(newest))
+      if (body !== undefined) this.offer({ version: newest.version, base: NO_BASE, body }, undefined)
     }
     this.misses = newest === undefined ? this.misses + 1 : 0
     this.storeProblem = ''
     this.startup = this.startup.withStoreRead()
-    this.takeEarly()
+    this.applyEarlyOffer()
   }
 
-  private failed (err: Error): void {
+  private onStoreFailure (err: Error): void {
     this.misses++
     this.storeProblem = err.message
     this.startup = this.startup.withStoreFailure(err.message)
@@ -190,7 +190,7 @@
   return { case: 'configBody', value: create(ConfigBodySchema, { version, base, json: JSON.stringify(body) }) }
 }
 
-function parse (json: string): Json | undefined {
+function parseJson (json: string): Json | undefined {
   try {
     return JSON.parse(json) as Json
   } catch {
--- a/src/shell/config/store.ts
+++ b/src/shell/config/store.ts
@@ -7,13 +7,13 @@
 import type { TableService } from '../platform/tableservice.ts'
 import type { Revision } from './revision.ts'
 
-type Record = Revision['record']
+type ConfigRecord = Revision['record']
 
 const PARTITION = 'config'
-const DIGITS = 12
+const VERSION_DIGITS = 12
 
 /** A row may hold 400 KB, and every poll reads the newest one; what is larger than this goes to the object store. */
-const MOST_INLINE_BYTES = 65_536
+const MAX_INLINE_BYTES = 65_536
 
 /** Every method rejects when the store is down; a write may then have taken effect. */
 export class ConfigStore {
@@ -50,9 +50,9 @@
    * written before the row, so that a row never points to nothing, and its key
    * has the patch's id, so that racing operators don't overwrite each other's.
    */
-  async create (version: ConfigVersion, record: Omit<Record, 'document' | 'object'>, document: string): Promise<'created' | 'exists'> {
+  async create (version: ConfigVersion, record: Omit<ConfigRecord, 'document' | 'object'>, document: string): Promise<'created' | 'exists'> {
     const bytes = new TextEncoder().encode(document)
-    const isInline = bytes.length <= MOST_INLINE_BYTES
+    const isInline = bytes.length <= MAX_INLINE_BYTES
     const object = `config/${keyOf(version)}-${record.id}`
     if (!isInline) await this.objects.put(object, bytes)
     const body = JSON.stringify({ ...record, ...isInline ? { document } : { object } })
@@ -61,7 +61,7 @@
 }
 
 function keyOf (version: ConfigVersion): string {
-  return String(version).padStart(DIGITS, '0')
+  return String(version).padStart(VERSION_DIGITS, '0')
 }
 
 function revisionOf (row: Row | undefined): Revision | undefined {
--- a/src/shell/config/submission.ts
+++ b/src/shell/config/submission.ts
@@ -13,7 +13,7 @@
 import type { Json } from '../../core/json.ts'
 import type { Revision } from './revision.ts'
 import type { ConfigStore } from './store.ts'
-import type { Verdict } from './verdict.ts'
+import type { SubmissionResult } from './submissionresult.ts'
 
 interface Patch {
   readonly base: ConfigVersion
@@ -25,10 +25,10 @@
   readonly body: Json
 }
 
-const TRIES = 5
-const PAUSE_MS = 300
-const MOST_LISTED = 1000
-const EMPTY: Json = { groups: [], pools: [] }
+const MAX_ATTEMPTS = 5
+const RETRY_DELAY_MS = 300
+const MAX_LISTED_REVISIONS = 1000
+const EMPTY_DOCUMENT: Json = { groups: [], pools: [] }
 
 export class Submission {
   private constructor (private readonly store: ConfigStore, private readonly patch: Patch) {}
@@ -38,10 +38,10 @@
   }
 
   /** Tries again while the store doesn't answer, since every step may be repeated under the same id. */
-  async run (): Promise<Verdict> {
+  async run (): Promise<SubmissionResult> {
     let cause = ''
-    for (let i = 0; i < TRIES; i++) {
-      if (i > 0) await new Promise(resolve => { setTimeout(resolve, PAUSE_MS) })
+    for (let i = 0; i < MAX_ATTEMPTS; i++) {
+      if (i > 0) await new Promise(resolve => { setTimeout(resolve, RETRY_DELAY_MS) })
       try {
         return await this.attempt()
       } catch (err) {
@@ -55,9 +55,9 @@
    * Reads before it writes: an earlier run of this command, or an earlier try
    * whose answer was lost, may have created the version already.
    */
-  private async attempt (): Promise<Verdict> {
+  private async attempt (): Promise<SubmissionResult> {
     const { base } = this.patch
-    const since = await this.store.list(base, MOST_LISTED)
+    const since = await this.store.list(base, MAX_LISTED_REVISIONS)
     if (since.length > 0) return await this.settle(since)
     const before = await this.baseDocument()
     if (before === undefined) return { kind: 'invalid', problem: `version ${base} doesn't exist; see the newest one with "agatepond history"` }
@@ -69,26 +69,26 @@
     const { id, by, why, at } = this.patch
     const outcome = await this.store.create(version, { id, by, why, at, digest: this.digest }, JSON.stringify(after.value))
     if (outcome === 'created') return { kind: 'accepted', version }
-    return await this.settle(await this.store.list(base, MOST_LISTED))
+    return await this.settle(await this.store.list(base, MAX_LISTED_REVISIONS))
   }
 
   /** Somebody created versions above the base: this patch, or other ones. */
-  private async settle (since: readonly Revision[]): Promise<Verdict> {
+  private async settle (since: readonly Revision[]): Promise<SubmissionResult> {
     const own = since.find(({ record }) => record.id === this.patch.id)
     if (own === undefined) return await this.outdated(since)
     const { version, record } = own
     return record.digest === this.digest ? { kind: 'accepted', version } : { kind: 'reused', version }
   }
 
-  private async outdated (since: readonly Revision[]): Promise<Verdict> {
+  private async outdated (since: readonly Revision[]): Promise<SubmissionResult> {
     const newest = await this.store.newest() ?? since.at(-1)!
     const before = await this.baseDocument()
     const after = JSON.parse(await this.store.document(newest)) as Json
-    return { kind: 'outdated', newest: newest.version, changes: Difference.between(before ?? EMPTY, after).toString() }
+    return { kind: 'outdated', newest: newest.version, changes: Difference.between(before ?? EMPTY_DOCUMENT, after).toString() }
   }
 
   private async baseDocument (): Promise<Json | undefined> {
-    if (this.patch.base === 0) return EMPTY
+    if (this.patch.base === 0) return EMPTY_DOCUMENT
     const revision = await this.store.at(this.patch.base)
     return revision === undefined ? undefined : JSON.parse(await this.store.document(revision)) as Json
   }
--- a/src/shell/config/verdict.ts
+++ b/src/shell/config/submissionresult.ts
@@ -9,7 +9,7 @@
  * - `invalid`: the result isn't a configuration; nothing was written.
  * - `unknown`: the store didn't answer; the same command with the same id settles it.
  */
-export type Verdict =
+export type SubmissionResult =
   | { readonly kind: 'accepted', readonly version: ConfigVersion }
   | { readonly kind: 'outdated', readonly newest: ConfigVersion, readonly changes: string }
   | { readonly kind: 'reused', readonly version: ConfigVersion }
--- a/src/shell/config/survey.ts
+++ b/src/shell/config/survey.ts
@@ -9,7 +9,7 @@
 
 type Host = Awaited<ReturnType<HostList['hosts']>>[number]
 
-interface Finding {
+interface HostStatus {
   readonly host: string
   readonly dataCentre: string
   readonly state: string
@@ -21,11 +21,11 @@
 }
 
 /** A host that doesn't answer within the time is a finding too. */
-export async function surveyHosts (hosts: readonly Host[], timeoutMs: number, keys?: TlsKeys): Promise<readonly Finding[]> {
+export async function surveyHosts (hosts: readonly Host[], timeoutMs: number, keys?: TlsKeys): Promise<readonly HostStatus[]> {
   return await Promise.all(hosts.map(async host => await ask(host, timeoutMs, keys)))
 }
 
-async function ask ({ id, peers, dataCentre, state }: Host, timeoutMs: number, keys: TlsKeys | undefined): Promise<Finding> {
+async function ask ({ id, peers, dataCentre, state }: Host, timeoutMs: number, keys: TlsKeys | undefined): Promise<HostStatus> {
   const client = createClient(Peer, createGrpcTransport(sessionTo(peers, id, keys)))
   try {
     const { host, version, ready, reason, waiting } = await client.status({}, { timeoutMs })
--- a/src/shell/log/log.ts
+++ b/src/shell/log/log.ts
@@ -4,15 +4,15 @@
 import { destination, pino, type Logger } from 'pino'
 import { events } from './events.ts'
 
-type Name = keyof typeof events
+type EventName = keyof typeof events
 
 const STANDARD_OUTPUT = 1
 /** Bytes that are gathered to one write, since each write costs a call to the system, */
-const GATHERED_BYTES = 4096
+const MIN_WRITE_BYTES = 4096
 /** how long they wait at most, in milliseconds, */
-const FLUSH_MS = 500
+const FLUSH_INTERVAL_MS = 500
 /** and bytes that may wait for a reader that stalls; what comes then is dropped. */
-const MOST_WAITING_BYTES = 1_048_576
+const MAX_BUFFERED_BYTES = 1_048_576
 
 /** Writes numbered events. Fields never hold a secret or a statement's values. */
 export class Log {
@@ -24,7 +24,7 @@
 
   /** Never blocks: lines are gathered, and dropped while the reader stalls. */
   static buffered (host: string, fd = STANDARD_OUTPUT): Log {
-    const out = destination({ dest: fd, sync: false, minLength: GATHERED_BYTES, maxLength: MOST_WAITING_BYTES, periodicFlush: FLUSH_MS })
+    const out = destination({ dest: fd, sync: false, minLength: MIN_WRITE_BYTES, maxLength: MAX_BUFFERED_BYTES, periodicFlush: FLUSH_INTERVAL_MS })
     return new Log(pino({ base: { host }, timestamp: pino.stdTimeFunctions.isoTime }, out), async () => await new Promise(resolve => out.flush(() => resolve())))
   }
 
@@ -35,7 +35,7 @@
 
   static readonly silent = new Log(pino({ enabled: false }))
 
-  write (name: Name, fields: Readonly<Record<string, string | number | boolean>> = {}): void {
+  write (name: EventName, fields: Readonly<Record<string, string | number | boolean>> = {}): void {
     const { id, level, message } = events[name]
     this.logger[level]({ event: id, ...fields }, message)
   }
--- a/src/shell/node/node.ts
+++ b/src/shell/node/node.ts
@@ -88,8 +88,8 @@
       now,
       chance,
       broadcast: body => it.peers?.broadcast(body),
-      onLinked: peer => it.configs?.linked(peer),
-      onConfig: (from, body) => it.configs?.take(from, body, reply => slots.peers.tell(from, reply))
+      onLinked: peer => it.configs?.onLinked(peer),
+      onConfig: (from, body) => it.configs?.receive(from, body, reply => slots.peers.tell(from, reply))
     }, signal)
     const { transactions, callers: busy, idle, pause: gap } = settings.drain
     const callers = Callers.create({
@@ -109,7 +109,7 @@
       keys,
       log,
       greeting: (): Frame['body'][] => [{ case: 'held', value: slots.heldFrame() }],
-      onConfig: (from, body, reply) => it.configs?.take(from, body, reply),
+      onConfig: (from, body, reply) => it.configs?.receive(from, body, reply),
       status: () => it.status(host.id, incarnation)
     }, signal)
     it.configs = ConfigFollower.start({
@@ -118,7 +118,7 @@
       log,
       now,
       chance,
-      tell: (peer, body) => slots.peers.tell(peer, body),
+      send: (peer, body) => slots.peers.tell(peer, body),
       onApply: config => it.apply(config)
     }, signal)
     const context: CallerContext = {
@@ -207,7 +207,7 @@
         hosts => {
           this.hasHosts = true
           this.slots.useHosts(hosts)
-          this.configs?.useHosts(hosts)
+          this.configs?.setHosts(hosts)
           this.slots.keepLinks(this.configs?.partners ?? [])
         },
         (err: Error) => this.log.write('hostListFailed', { err: err.message }))
--- a/src/shell/platform/storefull.ts
+++ b/src/shell/platform/storefullerror.ts
@@ -1,6 +1,6 @@
 /** The object store has no room for another object. */
 
-export class StoreFull extends Error {
+export class StoreFullError extends Error {
   constructor () {
     super('the object store is full; the oldest batches are dropped to make room')
   }
--- a/src/shell/pool/statements/auditor.ts
+++ b/src/shell/pool/statements/auditor.ts
@@ -2,10 +2,10 @@
 
 import { auditRecordOf } from '../../../core/pool/statements/auditrecord.ts'
 import { AuditId } from '../../../core/audit/id.ts'
-import { Batches } from '../../audit/batches.ts'
+import { BatchWriter } from '../../audit/batchwriter.ts'
 
 type Audited = Parameters<typeof auditRecordOf>[0]
-type Options = Omit<Parameters<typeof Batches.start>[0], 'limits'>
+type Options = Omit<Parameters<typeof BatchWriter.start>[0], 'limits'>
 
 /**
  * Calls to the store are charged, and a killed process loses its open batch, so a batch is closed after ten seconds, or after
@@ -21,10 +21,10 @@
   private count = 0
   private waiting: Audited[] = []
 
-  private constructor (private readonly options: Options, private readonly batches: Batches) {}
+  private constructor (private readonly options: Options, private readonly batches: BatchWriter) {}
 
   static start (options: Options, signal: AbortSignal): Auditor {
-    const auditor = new Auditor(options, Batches.start({ ...options, limits: LIMITS }, signal))
+    const auditor = new Auditor(options, BatchWriter.start({ ...options, limits: LIMITS }, signal))
     const timer = setInterval(() => auditor.record(), RECORD_DELAY_MS)
     signal.addEventListener('abort', () => clearInterval(timer), { once: true })
     return auditor
@@ -49,6 +49,6 @@
   private record (): void {
     const { waiting } = this
     this.waiting = []
-    for (const audited of waiting) this.batches.keep(auditRecordOf(audited))
+    for (const audited of waiting) this.batches.add(auditRecordOf(audited))
   }
 }
--- a/test/audittrail.test.ts
+++ b/test/audittrail.test.ts
@@ -19,7 +19,7 @@
     const began = now()
     const context = {
       now,
-      audit: { begin: () => RequestTrail.begin({ record: AuditRecord.begin(start), began, now, keep: record => kept.push(record) }) },
+      audit: { begin: () => RequestTrail.begin({ record: AuditRecord.begin(start), began, now, onRecord: record => kept.push(record) }) },
       port: () => ({ run: () => ({ credit: () => undefined, cancel: () => undefined }) }),
       metrics: { requests: { inc: () => undefined } }
     } as unknown as CallerContext
--- a/test/burn.test.ts
+++ b/test/burn.test.ts
@@ -8,7 +8,7 @@
 import type { PoolId } from '../src/core/id/pool.ts'
 import { measureBurn } from '../src/shell/audit/burn.ts'
 import { digest } from '../src/shell/audit/digest.ts'
-import { BatchKey } from '../src/shell/audit/key.ts'
+import { BatchKey } from '../src/shell/audit/batchkey.ts'
 import { AuditReader } from '../src/shell/audit/reader.ts'
 import type { ObjectStore } from '../src/shell/platform/objectstore.ts'
 
