--- a/bench/control.ts
+++ b/bench/control.ts
@@ -18,7 +18,7 @@
 import { Session } from '../src/core/session/session.ts'
 import { SessionTable } from '../src/core/session/sessiontable.ts'
 import { Token } from '../src/core/token.ts'
-import { paceOf } from '../src/shell/endpoint/paceof.ts'
+import { failoverTimings } from '../src/shell/endpoint/failovertimings.ts'
 import { sampleFrame } from '../src/shell/peer/frames.ts'
 import type { Benchmark } from './benchmark.ts'
 
@@ -27,7 +27,7 @@
 const STEPS = [10_000, 30_000, 100_000] as const
 const PLACEMENTS = 300
 const ENDPOINTS = ['shop-1', 'shop-2', 'shop-3'] as unknown as readonly EndpointId[]
-const PACE = paceOf({ pace: { misses: 2, rankDelayMs: 150, roundMs: 500, jitterMs: 100 }, probeMs: 100 })
+const PACE = failoverTimings({ pace: { misses: 2, rankDelayMs: 150, roundMs: 500, jitterMs: 100 }, probeMs: 100 })
 
 export const control: Benchmark = {
   name: 'control',
--- a/scenarios/world/callerreply.ts
+++ b/scenarios/world/callerreply.ts
@@ -2,7 +2,7 @@
 
 import type { Outcome } from '../../src/core/outcome.ts'
 import { Token } from '../../src/core/token.ts'
-import { textValues } from '../../src/shell/endpoint/textrow.ts'
+import { parseTextRow } from '../../src/shell/endpoint/parsetextrow.ts'
 import type { Reply } from '../../src/shell/mysql/reply.ts'
 
 interface Row {
@@ -36,7 +36,7 @@
 
   get values (): readonly Row[] {
     return this.taken.map(row => {
-      const [key, list] = textValues(Buffer.from(row))
+      const [key, list] = parseTextRow(Buffer.from(row))
       return { key: key!, values: list === '' ? [] : list!.split(' ') }
     })
   }
--- a/scenarios/world/proxy.ts
+++ b/scenarios/world/proxy.ts
@@ -150,7 +150,7 @@
 
   private learn (sample: Sample): void {
     this.groups.learn(sample)
-    for (const owner of this.owners.values()) owner.value.learn(sample)
+    for (const owner of this.owners.values()) owner.value.applySample(sample)
   }
 
   private port (endpoint: EndpointId): SlotPort | undefined {
@@ -193,7 +193,7 @@
         if (rank < 0) continue
         due.add(id)
         if (!this.owners.has(id)) this.take(group, id, rank)
-        this.owners.get(id)?.value.leave(leaving)
+        this.owners.get(id)?.value.setLeaving(leaving)
       }
     }
     for (const [id, owner] of this.owners) {
--- a/scenarios/world/wire.ts
+++ b/scenarios/world/wire.ts
@@ -69,7 +69,7 @@
     return performance.now() - this.answeredAt >= FRESH_MS
   }
 
-  async answers (ms: number): Promise<boolean> {
+  async isResponsive (ms: number): Promise<boolean> {
     if (this.isLost) return false
     const timer = setTimeout(() => this.destroy(), ms)
     return await this.ask('SELECT 1').then(() => true, () => false).finally(() => clearTimeout(timer))
--- a/src/shell/endpoint/connection.ts
+++ b/src/shell/endpoint/connection.ts
@@ -16,12 +16,12 @@
 }
 
 /** A connection that was silent for longer is asked before it's used. */
-const FRESH_MS = 1000
+const STALE_AFTER_MS = 1000
 
 /** Runs one statement at a time. Once lost it stays lost. */
 export class EndpointConnection {
   isLost = false
-  private heardAt = performance.now()
+  private lastReceivedAt = performance.now()
 
   private constructor (private readonly wire: Wire) {}
 
@@ -49,10 +49,10 @@
       it.destroy()
       throw err
     })
-    wire.on('error', () => it.lose())
-    wire.on('end', () => it.lose())
-    wire.stream.once('close', () => it.lose())
-    wire.stream.on('data', () => { it.heardAt = performance.now() })
+    wire.on('error', () => it.markLost())
+    wire.on('end', () => it.markLost())
+    wire.stream.once('close', () => it.markLost())
+    wire.stream.on('data', () => { it.lastReceivedAt = performance.now() })
     return it
   }
 
@@ -90,7 +90,7 @@
 
   /** Whether nothing was heard of it for so long that it may have gone silent. */
   get isStale (): boolean {
-    return performance.now() - this.heardAt >= FRESH_MS
+    return performance.now() - this.lastReceivedAt >= STALE_AFTER_MS
   }
 
   /**
@@ -98,7 +98,7 @@
    * used it: it shows no error, and a statement sent on it is never answered.
    * When false it's closed.
    */
-  async answers (ms: number): Promise<boolean> {
+  async isResponsive (ms: number): Promise<boolean> {
     if (this.isLost) return false
     const timer = setTimeout(() => this.destroy(), ms)
     return await this.ask('SELECT 1').then(() => true, () => false).finally(() => clearTimeout(timer))
@@ -119,12 +119,12 @@
    * whoever asked would never hear. A destroyed stream fails the command.
    */
   destroy (): void {
-    this.lose()
+    this.markLost()
     this.wire.on('error', () => undefined)
     this.wire.stream.destroy()
   }
 
-  private lose (): void {
+  private markLost (): void {
     this.isLost = true
   }
 }
--- a/src/shell/endpoint/control.ts
+++ b/src/shell/endpoint/control.ts
@@ -7,7 +7,7 @@
 import type { Term } from '../../core/id/term.ts'
 import { Sample } from '../../core/group/sample.ts'
 import { EndpointConnection } from './connection.ts'
-import { textValues } from './textrow.ts'
+import { parseTextRow } from './parsetextrow.ts'
 
 type Address = Parameters<typeof EndpointConnection.open>[0]
 
@@ -51,7 +51,7 @@
 
   /** Resolves when the endpoint has received the position in the term; rejects with a refusal when its term is higher, else when the time is over. */
   async received (term: Term, position: Position, ms: number): Promise<Sample> {
-    return await this.call(`received(${term},${position},${ms})`, ms + REPLY_MS)
+    return await this.call(`received(${term},${position},${ms})`, ms + REPLY_MARGIN_MS)
   }
 
   /** Whether a rejection is the endpoint's own refusal, rather than silence or the end of a wait. */
@@ -87,7 +87,7 @@
       const rows = await this.connection.ask(`CALL agatepond.${verb}`)
       return this.sample(rows[0], at)
     } catch (err) {
-      if (!isAnswer(err)) this.close()
+      if (!isServerError(err)) this.close()
       throw err
     } finally {
       clearTimeout(timer)
@@ -95,7 +95,7 @@
   }
 
   private sample (row: Buffer | undefined, at: Instant): Sample {
-    const [role, term, lastTerm, received, applied, starts] = row === undefined ? [] : textValues(row)
+    const [role, term, lastTerm, received, applied, starts] = row === undefined ? [] : parseTextRow(row)
     if (starts === undefined || starts === null) throw new Error('the endpoint answered a verb without a row')
     return Sample.of({
       endpoint: this.endpoint,
@@ -112,9 +112,9 @@
   }
 }
 
-const REPLY_MS = 200
+const REPLY_MARGIN_MS = 200
 
 /** Errors that a server sent carry MySQL's number; those of the connection carry none, or a name. */
-function isAnswer (err: unknown): boolean {
+function isServerError (err: unknown): boolean {
   return typeof (err as { code?: unknown }).code === 'number'
 }
--- a/src/shell/endpoint/execution.test.ts
+++ b/src/shell/endpoint/execution.test.ts
@@ -10,11 +10,11 @@
 import type { Slot } from './slot.ts'
 import { Transactions } from './transactions.ts'
 
-const IDLE_MS = 1000
+const IDLE_TIMEOUT_MS = 1000
 const tx = 'tx-1' as TransactionId
 
 /** A slot with connections that answer when the test says so. */
-class Bench {
+class Fixture {
   readonly events: string[] = []
   readonly dones: Array<Pick<Done, 'outcome' | 'reason'>> = []
   readonly rows: string[] = []
@@ -39,12 +39,12 @@
       if (!this.isReachable) throw new Error('refused')
       return this.connection
     },
-    giveBack: (_: unknown, isClean: boolean) => { this.events.push(isClean ? 'lent again' : 'closed') },
+    returnConnection: (_: unknown, isClean: boolean) => { this.events.push(isClean ? 'lent again' : 'closed') },
     pin: () => undefined,
     unpin: () => undefined
   } as unknown as Slot
 
-  readonly transactions = Transactions.create(this.slot, IDLE_MS)
+  readonly transactions = Transactions.create(this.slot, IDLE_TIMEOUT_MS)
 
   async run (sql: string, access: RunAccess, transaction = ''): Promise<Execution> {
     const context = {
@@ -71,14 +71,14 @@
   }
 }
 
-const OPEN = 1
+const IN_TRANSACTION = 1
 const run = RunAccess.TRANSACTION
 
 describe('Execution', () => {
-  let bench: Bench
+  let bench: Fixture
   beforeEach(() => {
     vi.useFakeTimers()
-    bench = new Bench()
+    bench = new Fixture()
   })
   afterEach(() => { vi.useRealTimers() })
 
@@ -86,7 +86,7 @@
   // connection twice and counted it twice, so it opened more connections than it may.
   it('closes the connection of a transaction that is released while a statement runs, once', async () => {
     await bench.run('BEGIN', run, tx)
-    await bench.ok(OPEN)
+    await bench.ok(IN_TRANSACTION)
     await bench.run('UPDATE', run, tx)
     bench.transactions.release(tx)
     bench.transactions.release(tx)
@@ -99,19 +99,19 @@
   // Two statements of one transaction at once would get each other's answers.
   it('refuses a second statement while the first runs', async () => {
     await bench.run('BEGIN', run, tx)
-    await bench.ok(OPEN)
+    await bench.ok(IN_TRANSACTION)
     await bench.run('UPDATE a', run, tx)
     await bench.run('UPDATE b', run, tx)
     expect(bench.dones.at(-1)).toEqual({ outcome: DoneOutcome.NOT_RUN, reason: 'notSent' })
-    await bench.ok(OPEN)
+    await bench.ok(IN_TRANSACTION)
     expect(bench.dones.at(-1)?.outcome).toBe(DoneOutcome.DONE)
     expect(bench.events).toEqual(['BEGIN', 'UPDATE a'])
   })
 
   it('rolls a transaction back that waits too long for its next statement', async () => {
     await bench.run('BEGIN', run, tx)
-    await bench.ok(OPEN)
-    await vi.advanceTimersByTimeAsync(IDLE_MS)
+    await bench.ok(IN_TRANSACTION)
+    await vi.advanceTimersByTimeAsync(IDLE_TIMEOUT_MS)
     expect(bench.events).toEqual(['BEGIN', 'closed'])
     await bench.run('UPDATE', run, tx)
     expect(bench.dones.at(-1)?.reason).toBe('lostTransaction')
@@ -121,7 +121,7 @@
   it.each([[true, 'lent again'], [false, 'closed']])('lends the connection of a committed transaction only after a reset (%s: %s)', async (isReset, last) => {
     bench.isReset = isReset
     await bench.run('BEGIN', run, tx)
-    await bench.ok(OPEN)
+    await bench.ok(IN_TRANSACTION)
     await bench.run('COMMIT', RunAccess.COMMIT, tx)
     await bench.ok(0)
     expect(bench.events).toEqual(['BEGIN', 'COMMIT', last])
--- a/src/shell/endpoint/execution.ts
+++ b/src/shell/endpoint/execution.ts
@@ -19,25 +19,25 @@
 type Sink = Parameters<SlotPort['run']>[1]
 
 const IN_TRANSACTION = 1
-const NONE: Counts = { affected: 0, insertId: 0 }
-const RESET_MS = 1000
+const NO_COUNTS: Counts = { affected: 0, insertId: 0 }
+const RESET_TIMEOUT_MS = 1000
 /** How long an idle connection may take to show that it still works. */
-const ANSWER_MS = 500
+const PING_TIMEOUT_MS = 500
 /** Bytes of rows that may be under way before the asker gives credit. */
-const FIRST_CREDIT = 256 * 1024
+const INITIAL_CREDIT_BYTES = 256 * 1024
 
 export class Execution {
-  private machine: SlotRun
+  private slotRun: SlotRun
   private readonly spec: ReturnType<typeof runSpecOf>
-  private readonly entry: LedgerEntry | undefined
+  private readonly ledgerEntry: LedgerEntry | undefined
   private timer: NodeJS.Timeout | undefined
   /** Gives up the wait for a connection. */
-  private giveUp: (() => void) | undefined
+  private cancelWait: (() => void) | undefined
   private connection: EndpointConnection | undefined
-  private creditLeft = FIRST_CREDIT
+  private remainingCreditBytes = INITIAL_CREDIT_BYTES
   private rows: Buffer[] = []
   private status = 0
-  private readonly began = performance.now()
+  private readonly startedAt = performance.now()
   /** When to come back, where the slot has said it. */
   private retryAfterMs = 0
 
@@ -50,61 +50,61 @@
     const { access } = spec
     this.spec = spec
     const isKeyed = access === 'settle' || (spec.hasIdempotencyKey && (access === 'write' || access === 'begin'))
-    this.machine = SlotRun.create(spec)
-    this.entry = isKeyed ? LedgerEntry.of({ caller: req.caller, key: req.once, sql: req.sql, access, at: Date.now() }) : undefined
+    this.slotRun = SlotRun.create(spec)
+    this.ledgerEntry = isKeyed ? LedgerEntry.of({ caller: req.caller, key: req.once, sql: req.sql, access, at: Date.now() }) : undefined
   }
 
   static start (context: ExecutionContext, req: Run, sink: Sink): Execution {
     const it = new Execution(context, req, sink)
-    it.timer = setTimeout(() => it.hear({ kind: 'deadline' }), req.deadlineMs)
-    it.hear({ kind: 'start' })
+    it.timer = setTimeout(() => it.handle({ kind: 'deadline' }), req.deadlineMs)
+    it.handle({ kind: 'start' })
     return it
   }
 
   credit (bytes: number): void {
-    const wasEmpty = this.creditLeft <= 0
-    this.creditLeft += bytes
-    if (wasEmpty && this.creditLeft > 0) this.connection?.resume()
+    const wasEmpty = this.remainingCreditBytes <= 0
+    this.remainingCreditBytes += bytes
+    if (wasEmpty && this.remainingCreditBytes > 0) this.connection?.resume()
   }
 
   cancel (): void {
     this.rows = []
-    this.hear({ kind: 'cancelled' })
+    this.handle({ kind: 'cancelled' })
   }
 
   private get transaction (): TransactionId {
     return this.req.transaction as TransactionId
   }
 
-  private hear (event: RunEvent): void {
-    const { run, actions } = this.machine.step(event)
-    this.machine = run
-    for (const action of actions) this.act(action)
+  private handle (event: RunEvent): void {
+    const { run, actions } = this.slotRun.step(event)
+    this.slotRun = run
+    for (const action of actions) this.perform(action)
     if (run.isOver) this.end()
   }
 
   private end (): void {
     clearTimeout(this.timer)
-    const { giveUp } = this
-    this.giveUp = undefined
+    const { cancelWait: giveUp } = this
+    this.cancelWait = undefined
     giveUp?.()
   }
 
-  private act (action: RunAction): void {
+  private perform (action: RunAction): void {
     switch (action.kind) {
       case 'prove':
-        this.context.proveCurrent(this.req.deadlineMs).then(holds => this.hear({ kind: 'proved', holds }))
+        this.context.proveCurrent(this.req.deadlineMs).then(holds => this.handle({ kind: 'proved', holds }))
         return
       case 'obtain':
-        this.obtain()
+        this.obtainConnection()
         return
       case 'send': return this.send(action.step, action.counts)
-      case 'keep': return this.keep()
-      case 'giveBack': return this.giveBack(action.how)
+      case 'keep': return this.keepConnection()
+      case 'giveBack': return this.returnConnection(action.how)
       case 'confirm': {
         const { term, position } = action.token
         if (this.req.session !== 0) this.context.wrote(term, position, this.req.session)
-        this.context.confirm(term, position, this.req.deadlineMs).then(holds => this.hear({ kind: 'confirmed', holds }))
+        this.context.confirm(term, position, this.req.deadlineMs).then(holds => this.handle({ kind: 'confirmed', holds }))
         return
       }
       case 'done':
@@ -113,25 +113,25 @@
     }
   }
 
-  private async obtain (): Promise<void> {
+  private async obtainConnection (): Promise<void> {
     const taken = this.req.transaction === ''
       ? undefined
-      : this.context.transactions.take(this.transaction, () => this.hear({ kind: 'released' }))
-    if (taken === 'busy') return this.hear({ kind: 'unobtainable', reason: 'notSent', detail: 'another statement of the transaction runs' })
-    if (taken !== undefined) return this.use(taken)
+      : this.context.transactions.take(this.transaction, () => this.handle({ kind: 'released' }))
+    if (taken === 'busy') return this.handle({ kind: 'unobtainable', reason: 'notSent', detail: 'another statement of the transaction runs' })
+    if (taken !== undefined) return this.useConnection(taken)
     const { access } = this.spec
     if (access === 'inside' || access === 'commit' || access === 'rollback') {
-      return this.hear({ kind: 'unobtainable', reason: 'lostTransaction', detail: '' })
+      return this.handle({ kind: 'unobtainable', reason: 'lostTransaction', detail: '' })
     }
     try {
       const connection = await this.borrow()
-      this.use(connection)
+      this.useConnection(connection)
     } catch (err) {
       if (err instanceof SlotRefusal) {
         this.retryAfterMs = err.retryAfterMs
-        return this.hear({ kind: 'unobtainable', reason: err.reason, detail: '' })
+        return this.handle({ kind: 'unobtainable', reason: err.reason, detail: '' })
       }
-      this.hear({ kind: 'unobtainable', reason: 'unreachable', detail: (err as Error).message })
+      this.handle({ kind: 'unobtainable', reason: 'unreachable', detail: (err as Error).message })
     }
   }
 
@@ -140,54 +140,54 @@
     const { slot } = this.context
     for (;;) {
       // The request may have ended while a silent connection was asked.
-      if (this.machine.isOver) throw new Error('the request is over')
+      if (this.slotRun.isOver) throw new Error('the request is over')
       const connection = await slot.borrow({
         class: this.req.class,
         caller: this.req.caller,
-        deadlineMs: this.req.deadlineMs - (performance.now() - this.began),
+        deadlineMs: this.req.deadlineMs - (performance.now() - this.startedAt),
         isTransaction: this.req.transaction !== ''
-      }, giveUp => { this.giveUp = giveUp })
-      if (!connection.isStale || await connection.answers(ANSWER_MS)) return connection
-      slot.giveBack(connection, false)
+      }, giveUp => { this.cancelWait = giveUp })
+      if (!connection.isStale || await connection.isResponsive(PING_TIMEOUT_MS)) return connection
+      slot.returnConnection(connection, false)
     }
   }
 
-  private use (connection: EndpointConnection): void {
+  private useConnection (connection: EndpointConnection): void {
     this.connection = connection
-    this.hear({ kind: 'obtained' })
+    this.handle({ kind: 'obtained' })
   }
 
   private send (step: RunStep, counts: Counts): void {
-    const sql = step === 'statement' ? this.req.sql : this.entry!.sql(step, counts)
-    const isRelayed = step === 'statement' && this.entry === undefined
+    const sql = step === 'statement' ? this.req.sql : this.ledgerEntry!.sql(step, counts)
+    const isRelayed = step === 'statement' && this.ledgerEntry === undefined
     let hasRows = false
     const kept: Buffer[] = []
     this.connection!.run(sql, {
       head: columns => {
         hasRows = true
-        if (isRelayed && !this.machine.isOver) this.sink.head(columns)
+        if (isRelayed && !this.slotRun.isOver) this.sink.head(columns)
       },
-      row: row => isRelayed ? this.takeRow(row) : kept.push(row),
+      row: row => isRelayed ? this.bufferRow(row) : kept.push(row),
       ok: ({ affected, insertId, status, token }) => {
         this.status = status
-        this.hear({ kind: 'answered', counts: { affected, insertId }, isOpen: isOpen(status), hasRows, token })
+        this.handle({ kind: 'answered', counts: { affected, insertId }, isOpen: isOpen(status), hasRows, token })
       },
       end: status => {
         this.status = status
-        if (step === 'lookup') return this.hear({ kind: 'found', row: this.entry!.row(kept) })
-        this.hear({ kind: 'answered', counts: NONE, isOpen: isOpen(status), hasRows, token: undefined })
+        if (step === 'lookup') return this.handle({ kind: 'found', row: this.ledgerEntry!.parseRow(kept) })
+        this.handle({ kind: 'answered', counts: NO_COUNTS, isOpen: isOpen(status), hasRows, token: undefined })
       },
-      error: (code, message) => this.hear({ kind: 'refused', code, message }),
-      lost: err => this.hear({ kind: 'lost', detail: err.message })
+      error: (code, message) => this.handle({ kind: 'refused', code, message }),
+      lost: err => this.handle({ kind: 'lost', detail: err.message })
     })
   }
 
-  private takeRow (row: Buffer): void {
-    if (this.machine.isOver) return
+  private bufferRow (row: Buffer): void {
+    if (this.slotRun.isOver) return
     if (this.rows.length === 0) setImmediate(() => this.flush())
     this.rows.push(row)
-    this.creditLeft -= row.length
-    if (this.creditLeft <= 0) this.connection?.pause()
+    this.remainingCreditBytes -= row.length
+    if (this.remainingCreditBytes <= 0) this.connection?.pause()
   }
 
   private flush (): void {
@@ -197,23 +197,23 @@
     this.sink.rows(rows)
   }
 
-  private keep (): void {
+  private keepConnection (): void {
     const { connection } = this
     this.connection = undefined
     this.context.transactions.keep(this.transaction, connection!)
   }
 
-  private giveBack (how: 'clean' | 'reset' | 'close'): void {
+  private returnConnection (how: 'clean' | 'reset' | 'close'): void {
     const { connection } = this
     const { slot, transactions } = this.context
     if (connection === undefined) return
     this.connection = undefined
     if (this.req.transaction !== '') transactions.end(this.transaction)
     if (how === 'reset') {
-      connection.reset(RESET_MS).then(isReset => slot.giveBack(connection, isReset))
+      connection.reset(RESET_TIMEOUT_MS).then(isReset => slot.returnConnection(connection, isReset))
       return
     }
-    slot.giveBack(connection, how === 'clean')
+    slot.returnConnection(connection, how === 'clean')
   }
 
   private finish (action: Extract<RunAction, { kind: 'done' | 'failed' | 'refuse' }>): void {
@@ -222,7 +222,7 @@
     switch (action.kind) {
       case 'done': {
         const { counts, token } = action
-        if (this.entry !== undefined) this.context.cleaner.used()
+        if (this.ledgerEntry !== undefined) this.context.cleaner.used()
         return this.sink.done(create(DoneSchema, {
           id,
           outcome: DoneOutcome.DONE,
--- a/src/shell/endpoint/paceof.ts
+++ b/src/shell/endpoint/failovertimings.ts
@@ -2,7 +2,7 @@
 
 import type { FailoverTimings } from '../../core/failover/timings.ts'
 
-interface Set {
+interface TimingSettings {
   readonly pace: Omit<FailoverTimings, 'quietMs' | 'orphanMs' | 'stallMs'>
   readonly probeMs: number
 }
@@ -10,14 +10,14 @@
 /** A round that is under way elsewhere ends by itself within two rounds: one of seals, one of the promotion. */
 const ORPHAN_ROUNDS = 2
 /** Replicas that copy nothing through so many samples aren't just slow. */
-const STALL_PROBES = 8
+const STALLED_PROBES = 8
 
 /** Probes of both owners come every `probeMs`: the quiet time covers the counted misses and half a probe more. */
-export function paceOf ({ pace, probeMs }: Set): FailoverTimings {
+export function failoverTimings ({ pace, probeMs }: TimingSettings): FailoverTimings {
   return {
     ...pace,
     quietMs: (pace.misses + 0.5) * probeMs,
     orphanMs: ORPHAN_ROUNDS * pace.roundMs,
-    stallMs: STALL_PROBES * probeMs
+    stallMs: STALLED_PROBES * probeMs
   }
 }
--- a/src/shell/endpoint/ledger.test.ts
+++ b/src/shell/endpoint/ledger.test.ts
@@ -8,7 +8,7 @@
 import { LedgerCleaner } from './ledgercleaner.ts'
 
 const sql = await initSqlJs()
-const HOUR = 60 * 60 * 1000
+const HOUR_MS = 60 * 60 * 1000
 
 /** A database with the ledger in it. */
 class Database {
@@ -37,7 +37,7 @@
     const db = new Database()
     db.do(entry(), 'claim')
     db.do(entry(), 'record')
-    expect(entry().row(db.do(entry(), 'lookup'))).toEqual({ claim: 'same', counts: { affected: 3, insertId: 7 } })
+    expect(entry().parseRow(db.do(entry(), 'lookup'))).toEqual({ claim: 'same', counts: { affected: 3, insertId: 7 } })
   })
 
   it.each([
@@ -48,7 +48,7 @@
   ])('is %s for %s', (claim, _, again) => {
     const db = new Database()
     db.do(entry(), 'claim')
-    expect(again.row(db.do(again, 'lookup'))?.claim).toBe(claim)
+    expect(again.parseRow(db.do(again, 'lookup'))?.claim).toBe(claim)
   })
 
   it('refuses a second claim, and not one of another caller', () => {
@@ -62,7 +62,7 @@
     const db = new Database()
     const odd = entry({ key: "x'); DROP TABLE agatepond_ledger; --" })
     db.do(odd, 'claim')
-    expect(odd.row(db.do(odd, 'lookup'))?.claim).toBe('same')
+    expect(odd.parseRow(db.do(odd, 'lookup'))?.claim).toBe('same')
   })
 })
 
@@ -70,14 +70,14 @@
   it('removes keys older than a day, when keys are used', async () => {
     const db = new Database()
     for (let i = 0; i < 1200; i++) db.do(entry({ key: `old-${i}` }), 'claim')
-    db.do(entry({ at: 10 * HOUR }), 'claim')
+    db.do(entry({ at: 10 * HOUR_MS }), 'claim')
     let now = 0
     let work = Promise.resolve()
     const cleaner = LedgerCleaner.create({
       clock: () => now,
-      use: async act => await (work = act({ ask: async text => db.run(text) }))
+      withConnection: async act => await (work = act({ ask: async text => db.run(text) }))
     })
-    now = 25 * HOUR
+    now = 25 * HOUR_MS
     cleaner.used()
     await work
     expect(db.run('SELECT COUNT(*) FROM agatepond_ledger')[0]?.toString('utf8', 1)).toBe('1')
--- a/src/shell/endpoint/ledger.ts
+++ b/src/shell/endpoint/ledger.ts
@@ -5,7 +5,7 @@
 import type { RunEvent } from '../../core/request/runevent.ts'
 import type { RunStep } from '../../core/request/runstep.ts'
 import { skipLeadingTrivia } from '../../core/routing/trivia.ts'
-import { textValues } from './textrow.ts'
+import { parseTextRow } from './parsetextrow.ts'
 
 type Row = Extract<RunEvent, { kind: 'found' }>['row']
 type LedgerStep = Exclude<RunStep, 'statement'>
@@ -21,8 +21,8 @@
 }
 
 const TABLE = 'agatepond_ledger'
-const TRANSACTION = 'transaction'
-const VOID = 'void'
+const TRANSACTION_FINGERPRINT = 'transaction'
+const VOID_FINGERPRINT = 'void'
 
 /**
  * The statements about one key. Key and statement are stored as hashes, so
@@ -36,7 +36,7 @@
   ) {}
 
   static of ({ caller, key, sql, access, at }: Options): LedgerEntry {
-    const fingerprints = { write: hash(skipLeadingTrivia(sql).trim()), begin: TRANSACTION, settle: VOID }
+    const fingerprints = { write: hash(skipLeadingTrivia(sql).trim()), begin: TRANSACTION_FINGERPRINT, settle: VOID_FINGERPRINT }
     return new LedgerEntry(hash(`${caller}\0${key}`), fingerprints[access], at)
   }
 
@@ -56,15 +56,15 @@
   }
 
   /** Reads the answer to `lookup`. */
-  row (rows: readonly Buffer[]): Row {
+  parseRow (rows: readonly Buffer[]): Row {
     if (rows[0] === undefined) return undefined
-    const [fingerprint, affected, insertId] = textValues(rows[0])
-    return { claim: this.claim(fingerprint), counts: { affected: Number(affected), insertId: Number(insertId) } }
+    const [fingerprint, affected, insertId] = parseTextRow(rows[0])
+    return { claim: this.claimOf(fingerprint), counts: { affected: Number(affected), insertId: Number(insertId) } }
   }
 
-  private claim (fingerprint: string | null | undefined): NonNullable<Row>['claim'] {
-    if (fingerprint === VOID) return 'void'
-    const isSame = this.fingerprint === VOID || fingerprint === this.fingerprint
+  private claimOf (fingerprint: string | null | undefined): NonNullable<Row>['claim'] {
+    if (fingerprint === VOID_FINGERPRINT) return 'void'
+    const isSame = this.fingerprint === VOID_FINGERPRINT || fingerprint === this.fingerprint
     return isSame ? 'same' : 'other'
   }
 }
--- a/src/shell/endpoint/ledgercleaner.ts
+++ b/src/shell/endpoint/ledgercleaner.ts
@@ -1,19 +1,19 @@
 /** Removes old keys from the ledger. */
 
 import type { EndpointConnection } from './connection.ts'
-import { textValues } from './textrow.ts'
+import { parseTextRow } from './parsetextrow.ts'
 
 interface Options {
   /** Lends a connection for the work; rejects when none is free. */
-  readonly use: (work: (connection: Pick<EndpointConnection, 'ask'>) => Promise<void>) => Promise<void>
+  readonly withConnection: (work: (connection: Pick<EndpointConnection, 'ask'>) => Promise<void>) => Promise<void>
   /** Milliseconds since 1970. */
   readonly clock: () => number
 }
 
 /** A key protects its request for this long; a try that comes later would run again. */
-const KEEP_MS = 24 * 60 * 60 * 1000
-const EVERY_MS = 10 * 60 * 1000
-const BATCH = 500
+const RETENTION_MS = 24 * 60 * 60 * 1000
+const CLEAN_INTERVAL_MS = 10 * 60 * 1000
+const BATCH_SIZE = 500
 
 /**
  * Cleans up while keys are in use, a batch at a time. The ids are read first
@@ -34,19 +34,19 @@
   /** A request under a key is done. */
   used (): void {
     const now = this.options.clock()
-    if (now - this.last < EVERY_MS) return
+    if (now - this.last < CLEAN_INTERVAL_MS) return
     this.last = now
     // What isn't cleaned now is cleaned next time; a replica or a busy slot refuses.
-    this.options.use(async connection => await clean(connection, now - KEEP_MS)).catch(() => undefined)
+    this.options.withConnection(async connection => await deleteExpired(connection, now - RETENTION_MS)).catch(() => undefined)
   }
 }
 
-async function clean (connection: Pick<EndpointConnection, 'ask'>, before: number): Promise<void> {
+async function deleteExpired (connection: Pick<EndpointConnection, 'ask'>, before: number): Promise<void> {
   for (;;) {
-    const rows = await connection.ask(`SELECT id FROM agatepond_ledger WHERE at < ${before} LIMIT ${BATCH}`)
+    const rows = await connection.ask(`SELECT id FROM agatepond_ledger WHERE at < ${before} LIMIT ${BATCH_SIZE}`)
     if (rows.length === 0) return
-    const ids = rows.map(row => `'${textValues(row)[0]}'`)
+    const ids = rows.map(row => `'${parseTextRow(row)[0]}'`)
     await connection.ask(`DELETE FROM agatepond_ledger WHERE id IN (${ids.join(', ')})`)
-    if (rows.length < BATCH) return
+    if (rows.length < BATCH_SIZE) return
   }
 }
--- a/src/shell/endpoint/owner.ts
+++ b/src/shell/endpoint/owner.ts
@@ -14,14 +14,14 @@
 import { EndpointControl } from './control.ts'
 import { Execution } from './execution.ts'
 import { LedgerCleaner } from './ledgercleaner.ts'
-import type { OwnerOptions } from './owneroptions.ts'
-import { paceOf } from './paceof.ts'
-import { ConfirmRounds } from './rounds.ts'
+import type { SlotOwnerOptions } from './slotowneroptions.ts'
+import { failoverTimings } from './failovertimings.ts'
+import { ConfirmationBatcher } from './confirmationbatcher.ts'
 import { Slot } from './slot.ts'
 import { Transactions } from './transactions.ts'
-import { Underway } from './underway.ts'
-import { useConnection } from './useconnection.ts'
-import { Verbs } from './verbs.ts'
+import { RunningRequests } from './runningrequests.ts'
+import { withConnection } from './withconnection.ts'
+import { VerbRunner } from './verbrunner.ts'
 
 /**
  * Connections of a slot that no statement gets: one for probes, one for
@@ -29,47 +29,47 @@
  * load: verbs come over connections of their own, from the owners of other
  * endpoints' slots too, and a server whose slots are used up refuses them.
  */
-const CONTROL_CONNECTIONS = 3
+const RESERVED_CONNECTIONS = 3
 
 export class SlotOwner {
   private readonly slot: Slot
   private readonly transactions: Transactions
   private readonly cleaner: LedgerCleaner
   private readonly probe: EndpointControl
-  private readonly rounds: ConfirmRounds
-  private readonly waits: EndpointControl
-  private readonly verbs: Verbs
+  private readonly confirmations: ConfirmationBatcher
+  private readonly confirmControl: EndpointControl
+  private readonly verbRunner: VerbRunner
   private monitor: Monitor
   private isReachable = true
   private isLeaving = false
   /** The last endpoint that was known to be primary. */
   private leader: EndpointId | undefined
-  private readonly underway = Underway.create()
+  private readonly runningRequests = RunningRequests.create()
 
-  private constructor (private readonly options: OwnerOptions) {
+  private constructor (private readonly options: SlotOwnerOptions) {
     const { addresses, endpoint, now } = options
     const { proposer } = this
     const address = addresses.get(endpoint)!
-    this.slot = Slot.create(address.data, options.connections - CONTROL_CONNECTIONS, options.chance)
+    this.slot = Slot.create(address.data, options.connections - RESERVED_CONNECTIONS, options.chance)
     this.transactions = Transactions.create(this.slot)
-    this.cleaner = LedgerCleaner.create({ clock: () => Date.now(), use: async work => await useConnection(this.slot, work) })
+    this.cleaner = LedgerCleaner.create({ clock: () => Date.now(), withConnection: async work => await withConnection(this.slot, work) })
     this.probe = EndpointControl.create(endpoint, address.control, proposer, now)
-    this.waits = EndpointControl.create(endpoint, address.control, proposer, now)
-    this.rounds = ConfirmRounds.create(this.waits)
-    this.verbs = Verbs.create({ ...options, proposer, probeMs: options.probeTimeoutMs, verbMs: options.pace.roundMs })
-    this.monitor = Monitor.create(options.group, endpoint, options.rank, paceOf(options), now())
+    this.confirmControl = EndpointControl.create(endpoint, address.control, proposer, now)
+    this.confirmations = ConfirmationBatcher.create(this.confirmControl)
+    this.verbRunner = VerbRunner.create({ ...options, proposer, probeTimeoutMs: options.probeTimeoutMs, verbTimeoutMs: options.pace.roundMs })
+    this.monitor = Monitor.create(options.group, endpoint, options.rank, failoverTimings(options), now())
   }
 
   /** Owns the slot until the signal is aborted. */
-  static start (options: OwnerOptions, signal: AbortSignal): SlotOwner {
+  static start (options: SlotOwnerOptions, signal: AbortSignal): SlotOwner {
     const it = new SlotOwner(options)
     it.probeLoop(signal)
-    const ticker = setInterval(() => it.hear({ kind: 'tick' }), TICK_MS)
+    const ticker = setInterval(() => it.handle({ kind: 'tick' }), TICK_INTERVAL_MS)
     signal.addEventListener('abort', () => {
       clearInterval(ticker)
       it.slot.close()
       it.probe.close()
-      it.waits.close()
+      it.confirmControl.close()
     }, { once: true })
     return it
   }
@@ -92,14 +92,14 @@
   }
 
   /** Says whether the endpoint is to be left. A primary is replaced by a planned hand-over first; then no new work goes to it. */
-  leave (isLeaving: boolean): void {
+  setLeaving (isLeaving: boolean): void {
     if (isLeaving === this.isLeaving) return
     this.isLeaving = isLeaving
-    this.hear({ kind: isLeaving ? 'leaving' : 'staying', endpoint: this.endpoint })
+    this.handle({ kind: isLeaving ? 'leaving' : 'staying', endpoint: this.endpoint })
   }
 
   run (req: Run, sink: Parameters<SlotPort['run']>[1]): ReturnType<SlotPort['run']> {
-    return this.underway.start(req, sink, taken => Execution.start({
+    return this.runningRequests.start(req, sink, taken => Execution.start({
       slot: this.slot,
       transactions: this.transactions,
       cleaner: this.cleaner,
@@ -111,7 +111,7 @@
 
   async confirm (term: Term, position: Position, ms: number): Promise<Confirmed> {
     try {
-      const sample = await this.rounds.confirm(term, position, ms)
+      const sample = await this.confirmations.confirm(term, position, ms)
       return create(ConfirmedSchema, { ok: true, term: sample.term, received: sample.received, applied: sample.applied })
     } catch {
       return create(ConfirmedSchema, { ok: false })
@@ -123,17 +123,17 @@
   }
 
   /** Takes in what another process knows of this group's endpoints. */
-  learn (sample: Sample): void {
+  applySample (sample: Sample): void {
     // A process hears of all groups. A monitor that took another group's sample would judge by its term and order verbs
     // to its endpoints, for which it has no address.
     if (!this.options.addresses.has(sample.endpoint)) return
     if (sample === this.monitor.group.sample(sample.endpoint)) return
-    this.hear({ kind: 'learnt', sample })
+    this.handle({ kind: 'learnt', sample })
   }
 
   private async confirmElsewhere (term: Term, position: Position, ms: number): Promise<boolean> {
     const others = this.options.group.samples.filter(sample => sample.endpoint !== this.endpoint)
-    return await firstTrue(others.map(async ({ endpoint }) =>
+    return await anyTrue(others.map(async ({ endpoint }) =>
       (await this.options.confirmAt(endpoint, term, position, ms)).ok))
   }
 
@@ -176,7 +176,7 @@
       this.publish(sample.with({ queued: this.slot.queued }))
     } catch {
       this.reachable(false)
-      this.hear({ kind: 'missed', endpoint: this.endpoint })
+      this.handle({ kind: 'missed', endpoint: this.endpoint })
       this.publishMiss()
     }
   }
@@ -189,7 +189,7 @@
 
   /** A replica that is leaving is shown as one that can't be reached, so that nothing new is sent to it. */
   private publish (sample: Sample): void {
-    this.hear({ kind: 'sampled', sample })
+    this.handle({ kind: 'sampled', sample })
     const isShunned = this.isLeaving && sample.role !== 'primary'
     this.options.onSample(isShunned ? sample.with({ reachable: false }) : sample)
   }
@@ -200,39 +200,39 @@
     this.options.onSample(this.monitor.group.sample(this.endpoint)!.with({ reachable: false }))
   }
 
-  private hear (event: FailoverEvent): void {
+  private handle (event: FailoverEvent): void {
     const { now, chance, log } = this.options
     const step = this.monitor.step(event, now(), chance())
     this.monitor = step.monitor
-    this.followLeader(step.monitor.group.leader?.endpoint)
+    this.updateLeader(step.monitor.group.leader?.endpoint)
     if (step.actions[0]?.kind === 'seal') log.write('promotionBegun', { group: this.options.group.id, term: step.actions[0].term })
-    for (const action of step.actions) this.act(action)
+    for (const action of step.actions) this.perform(action)
   }
 
-  private followLeader (leader: EndpointId | undefined): void {
+  private updateLeader (leader: EndpointId | undefined): void {
     if (leader === undefined || leader === this.leader) return
-    if (this.leader === this.endpoint) this.underway.endAll()
+    if (this.leader === this.endpoint) this.runningRequests.endAll()
     this.leader = leader
   }
 
-  private act (action: FailoverAction): void {
+  private perform (action: FailoverAction): void {
     if (action.kind === 'record') {
       this.options.log.write('promoted', { group: action.group, term: action.term, primary: action.primary, cause: action.cause })
       const sample = this.monitor.group.sample(action.primary)!
       this.options.onSample(sample)
       return this.options.record(action)
     }
-    this.verbs.run(action).then(event => {
+    this.verbRunner.run(action).then(event => {
       if (event.kind === 'sampled' && action.kind === 'follow') this.options.onSample(event.sample)
-      this.hear(event)
+      this.handle(event)
     })
   }
 }
 
-const TICK_MS = 20
+const TICK_INTERVAL_MS = 20
 
 /** True as soon as one is; false when all are settled and none is. */
-async function firstTrue (some: ReadonlyArray<Promise<boolean>>): Promise<boolean> {
+async function anyTrue (some: ReadonlyArray<Promise<boolean>>): Promise<boolean> {
   return await Promise.any(some.map(async one => {
     if (!await one) throw new Error('no')
     return true
--- a/src/shell/endpoint/textrow.ts
+++ b/src/shell/endpoint/parsetextrow.ts
@@ -1,19 +1,19 @@
 /** Values of a text row of the proxy's own questions. */
 
-const NULL = 0xfb
+const NULL_MARKER = 0xfb
 
 /** The values of a raw text row; the answers read here are far below 64 KiB a value. */
-export function textValues (row: Buffer): readonly (string | null)[] {
+export function parseTextRow (row: Buffer): readonly (string | null)[] {
   const values: Array<string | null> = []
   let offset = 0
   while (offset < row.length) {
     const first = row.readUInt8(offset)
-    if (first === NULL) {
+    if (first === NULL_MARKER) {
       values.push(null)
       offset += 1
       continue
     }
-    const isShort = first < NULL
+    const isShort = first < NULL_MARKER
     const start = isShort ? offset + 1 : offset + (first === 0xfc ? 3 : 4)
     const size = isShort ? first : row.readUIntLE(offset + 1, first === 0xfc ? 2 : 3)
     values.push(row.toString('utf8', start, start + size))
--- a/src/shell/endpoint/underway.ts
+++ b/src/shell/endpoint/runningrequests.ts
@@ -8,24 +8,24 @@
 type Sink = Parameters<SlotPort['run']>[1]
 type Running = ReturnType<SlotPort['run']>
 
-interface Started {
+interface TrackedRequest {
   readonly req: Run
   readonly sink: Sink
   running?: Running
 }
 
 /** Knows every request that has no outcome yet, so that all can be ended at once. */
-export class Underway {
-  private readonly started = new Set<Started>()
+export class RunningRequests {
+  private readonly started = new Set<TrackedRequest>()
 
   private constructor () {}
 
-  static create (): Underway {
-    return new Underway()
+  static create (): RunningRequests {
+    return new RunningRequests()
   }
 
   start (req: Run, sink: Sink, run: (sink: Sink) => Running): Running {
-    const one: Started = { req, sink }
+    const one: TrackedRequest = { req, sink }
     this.started.add(one)
     const running = run({
       head: columns => sink.head(columns),
@@ -51,13 +51,13 @@
   endAll (): void {
     for (const { req, sink, running } of [...this.started]) {
       running?.cancel()
-      sink.done(refusal(req.id, reasonOf(req.access), 'the primary was replaced'))
+      sink.done(refusal(req.id, endReason(req.access), 'the primary was replaced'))
     }
     this.started.clear()
   }
 }
 
-function reasonOf (access: RunAccess): ReasonName {
+function endReason (access: RunAccess): ReasonName {
   switch (access) {
     case RunAccess.READ:
     case RunAccess.STRICT: return 'unproved'
--- a/src/shell/endpoint/slot.ts
+++ b/src/shell/endpoint/slot.ts
@@ -13,7 +13,7 @@
 
 type Address = Parameters<typeof EndpointConnection.open>[0]
 
-interface Wish {
+interface BorrowRequest {
   /** A name of `classes`; any other counts as normal. */
   readonly class: string
   readonly caller: string
@@ -28,20 +28,20 @@
   readonly refuse: (err: Error) => void
 }
 
-const TICK_MS = 20
+const TICK_INTERVAL_MS = 20
 /** Ticks without work after which the timer rests; enough for the averages to fade. */
-const QUIET_TICKS = 50
+const MAX_IDLE_TICKS = 50
 
 /** Lends its connections, one borrower each. Never opens more than its limit, those being opened included. */
 export class Slot {
   private readonly admission: Admission
   private readonly idle: EndpointConnection[] = []
   private readonly waiting = new Map<number, Waiter>()
-  private readonly loans = new Map<EndpointConnection, number>()
+  private readonly borrowed = new Map<EndpointConnection, number>()
   private readonly pinned = new Map<TransactionId, EndpointConnection>()
   private nextId = 1
   private timer: NodeJS.Timeout | undefined
-  private quietTicks = 0
+  private idleTicks = 0
   private isClosed = false
 
   private constructor (private readonly address: Address, limits: Limits, private readonly chance: () => number) {
@@ -67,7 +67,7 @@
    * call that gives it up, and only when no connection was idle: an AbortSignal
    * for each request was a tenth of a statement.
    */
-  async borrow (wish: Wish, onWait: (giveUp: () => void) => void): Promise<EndpointConnection> {
+  async borrow (wish: BorrowRequest, onWait: (giveUp: () => void) => void): Promise<EndpointConnection> {
     if (this.isClosed) throw new Error('the slot was given back')
     const id = this.nextId++
     const rank = classes.findIndex(name => name === wish.class)
@@ -88,10 +88,10 @@
   }
 
   /** Takes a connection back. One that was lost, or may hold state of its borrower, is closed instead of lent again. */
-  giveBack (connection: EndpointConnection, isClean: boolean): void {
-    const id = this.loans.get(connection)
+  returnConnection (connection: EndpointConnection, isClean: boolean): void {
+    const id = this.borrowed.get(connection)
     if (id === undefined) return
-    this.loans.delete(connection)
+    this.borrowed.delete(connection)
     const isUsable = isClean && !connection.isLost && !this.isClosed
     if (!isUsable) connection.destroy()
     this.step({ kind: 'finished', id, isUsable }, isUsable ? connection : undefined)
@@ -122,24 +122,24 @@
   private step (event: AdmissionEvent, gained?: EndpointConnection): void {
     if (this.isClosed) return
     const now = performance.now() as Instant
-    const lost = this.dropLost()
-    if (lost > 0) this.actAll(this.admission.step({ kind: 'lost', count: lost }, now, this.chance()))
+    const lost = this.removeLost()
+    if (lost > 0) this.performAll(this.admission.step({ kind: 'lost', count: lost }, now, this.chance()))
     if (gained !== undefined) this.idle.push(gained)
-    this.actAll(this.admission.step(event, now, this.chance()))
-    this.keepTime()
+    this.performAll(this.admission.step(event, now, this.chance()))
+    this.startTimer()
   }
 
-  private actAll (actions: readonly AdmissionAction[]): void {
-    for (const action of actions) this.act(action)
+  private performAll (actions: readonly AdmissionAction[]): void {
+    for (const action of actions) this.perform(action)
   }
 
-  private act (action: AdmissionAction): void {
+  private perform (action: AdmissionAction): void {
     if (action.kind === 'open') return this.open()
     const waiter = this.waiting.get(action.id)
     this.waiting.delete(action.id)
     if (action.kind === 'refuse') return waiter?.refuse(SlotRefusal.of(action.reason, action.retryAfterMs))
     const connection = this.idle.pop()!
-    this.loans.set(connection, action.id)
+    this.borrowed.set(connection, action.id)
     waiter?.give(connection)
   }
 
@@ -152,7 +152,7 @@
   }
 
   /** Connections that broke while idle must not be counted on, or a request would start on none. */
-  private dropLost (): number {
+  private removeLost (): number {
     const before = this.idle.length
     for (let i = before - 1; i >= 0; i--) {
       if (this.idle[i]!.isLost) this.idle.splice(i, 1)
@@ -169,17 +169,17 @@
       () => this.step({ kind: 'openFailed' }))
   }
 
-  private keepTime (): void {
-    this.quietTicks = 0
-    this.timer ??= setInterval(() => this.tick(), TICK_MS)
+  private startTimer (): void {
+    this.idleTicks = 0
+    this.timer ??= setInterval(() => this.tick(), TICK_INTERVAL_MS)
   }
 
   private tick (): void {
-    const isQuiet = this.waiting.size === 0 && this.loans.size === 0
-    const ticks = isQuiet ? this.quietTicks + 1 : 0
+    const isQuiet = this.waiting.size === 0 && this.borrowed.size === 0
+    const ticks = isQuiet ? this.idleTicks + 1 : 0
     this.step({ kind: 'tick' })
-    this.quietTicks = ticks
-    if (ticks < QUIET_TICKS) return
+    this.idleTicks = ticks
+    if (ticks < MAX_IDLE_TICKS) return
     clearInterval(this.timer)
     this.timer = undefined
   }
--- a/src/shell/endpoint/owneroptions.ts
+++ b/src/shell/endpoint/slotowneroptions.ts
@@ -9,12 +9,12 @@
 import type { Position } from '../../core/id/position.ts'
 import type { Term } from '../../core/id/term.ts'
 import type { Log } from '../log/log.ts'
-import type { paceOf } from './paceof.ts'
+import type { failoverTimings } from './failovertimings.ts'
 import type { Slot } from './slot.ts'
 
 type Address = Parameters<typeof Slot.create>[0]
 
-export interface OwnerOptions {
+export interface SlotOwnerOptions {
   readonly endpoint: EndpointId
   readonly group: Group
   /** Data and control addresses of every endpoint of the group. */
@@ -22,7 +22,7 @@
   readonly connections: number
   /** 0 for the slot whose owner judges the endpoint first. */
   readonly rank: number
-  readonly pace: Parameters<typeof paceOf>[0]['pace']
+  readonly pace: Parameters<typeof failoverTimings>[0]['pace']
   readonly probeMs: number
   readonly probeTimeoutMs: number
   /** This process's name as a proposer of terms; unique for the process's life. */
--- a/src/shell/endpoint/transactions.ts
+++ b/src/shell/endpoint/transactions.ts
@@ -4,7 +4,7 @@
 import type { EndpointConnection } from './connection.ts'
 import type { Slot } from './slot.ts'
 
-interface Open {
+interface OpenTransaction {
   readonly connection: EndpointConnection
   /** Gives up the statement that runs now; undefined between statements. */
   stop: (() => void) | undefined
@@ -12,14 +12,14 @@
 }
 
 /** How long a transaction may wait for its next statement before it's rolled back: its locks and its connection are others' too. */
-const IDLE_MS = 60_000
+const IDLE_TIMEOUT_MS = 60_000
 
 export class Transactions {
-  private readonly open = new Map<TransactionId, Open>()
+  private readonly open = new Map<TransactionId, OpenTransaction>()
 
-  private constructor (private readonly slot: Slot, private readonly idleMs: number) {}
+  private constructor (private readonly slot: Slot, private readonly idleTimeoutMs: number) {}
 
-  static create (slot: Slot, idleMs = IDLE_MS): Transactions {
+  static create (slot: Slot, idleMs = IDLE_TIMEOUT_MS): Transactions {
     return new Transactions(slot, idleMs)
   }
 
@@ -39,7 +39,7 @@
   /** Holds the connection until the transaction's next statement. */
   keep (id: TransactionId, connection: EndpointConnection): void {
     clearTimeout(this.open.get(id)?.timer)
-    const timer = setTimeout(() => this.release(id), this.idleMs)
+    const timer = setTimeout(() => this.release(id), this.idleTimeoutMs)
     this.open.set(id, { connection, stop: undefined, timer })
     this.slot.pin(id, connection)
   }
@@ -61,6 +61,6 @@
     if (open === undefined) return
     if (open.stop !== undefined) return open.stop()
     this.end(id)
-    this.slot.giveBack(open.connection, false)
+    this.slot.returnConnection(open.connection, false)
   }
 }
--- a/src/shell/endpoint/verbs.ts
+++ b/src/shell/endpoint/verbrunner.ts
@@ -12,18 +12,18 @@
 interface Options {
   readonly addresses: ReadonlyMap<EndpointId, { readonly control: Parameters<typeof EndpointControl.create>[1] }>
   readonly proposer: string
-  readonly probeMs: number
-  readonly verbMs: number
+  readonly probeTimeoutMs: number
+  readonly verbTimeoutMs: number
   readonly now: () => Instant
   readonly log: Log
 }
 
 /** Each verb goes over a connection of its own, which lives no longer than the verb. */
-export class Verbs {
+export class VerbRunner {
   private constructor (private readonly options: Options) {}
 
-  static create (options: Options): Verbs {
-    return new Verbs(options)
+  static create (options: Options): VerbRunner {
+    return new VerbRunner(options)
   }
 
   /** What came of it, for the monitor to hear. */
@@ -33,14 +33,14 @@
     try {
       return await this.ask(control, verb)
     } catch (err) {
-      return this.failure(verb, err as Error)
+      return this.failureEvent(verb, err as Error)
     } finally {
       control.close()
     }
   }
 
   private async ask (control: EndpointControl, verb: Verb): Promise<FailoverEvent> {
-    const { probeMs, verbMs } = this.options
+    const { probeTimeoutMs: probeMs, verbTimeoutMs: verbMs } = this.options
     switch (verb.kind) {
       case 'probe': return { kind: 'sampled', sample: await control.status(probeMs) }
       case 'seal': return { kind: 'sealed', term: verb.term, sample: await control.seal(verb.term, verbMs) }
@@ -49,7 +49,7 @@
     }
   }
 
-  private failure (verb: Verb, err: Error): FailoverEvent {
+  private failureEvent (verb: Verb, err: Error): FailoverEvent {
     const { endpoint } = verb
     if (verb.kind === 'probe') return { kind: 'missed', endpoint }
     const { kind, term } = verb
--- a/src/shell/node/heldslot.ts
+++ b/src/shell/node/heldslot.ts
@@ -74,12 +74,12 @@
   }
 
   learn (sample: Sample): void {
-    this.owner.learn(sample)
+    this.owner.applySample(sample)
   }
 
   /** Says whether the endpoint is to be left. */
   leaveEndpoint (isLeaving: boolean): void {
-    this.owner.leave(isLeaving)
+    this.owner.setLeaving(isLeaving)
   }
 
   /** Ends what is in progress, then closes the slot's connections. Takes new requests for a moment still. */
