--- a/bench/control.ts
+++ b/bench/control.ts
@@ -19,7 +19,7 @@
 import { SessionTable } from '../src/core/session/sessiontable.ts'
 import { Token } from '../src/core/token.ts'
 import { failoverTimings } from '../src/shell/endpoint/failovertimings.ts'
-import { sampleFrame } from '../src/shell/peer/frames.ts'
+import { sampleFrame } from '../src/shell/peer/sampleframe.ts'
 import type { Benchmark } from './benchmark.ts'
 
 const SESSIONS = [2150, 10_000, 50_000] as const
--- a/scenarios/world/ownslots.ts
+++ b/scenarios/world/ownslots.ts
@@ -4,8 +4,8 @@
 import { ConfirmedSchema } from '../../src/gen/peer_pb.ts'
 import type { EndpointId } from '../../src/core/id/endpoint.ts'
 import type { SlotOwner } from '../../src/shell/endpoint/owner.ts'
-import { refusal } from '../../src/shell/peer/answer.ts'
-import type { SlotPort } from '../../src/shell/peer/port.ts'
+import { refusal } from '../../src/shell/peer/refusal.ts'
+import type { SlotPort } from '../../src/shell/peer/slotport.ts'
 
 export function ownSlots (owner: (endpoint: EndpointId) => SlotOwner | undefined, all: () => readonly SlotOwner[]): SlotPort {
   return {
--- a/scenarios/world/proxy.ts
+++ b/scenarios/world/proxy.ts
@@ -14,14 +14,14 @@
 import { CallerConnection } from '../../src/shell/caller/connection.ts'
 import type { CallerContext } from '../../src/shell/caller/context.ts'
 import { Groups } from '../../src/shell/caller/groups.ts'
-import { Reads } from '../../src/shell/caller/reads.ts'
+import { SessionReadRouter } from '../../src/shell/caller/sessionreadrouter.ts'
 import { SlotOwner } from '../../src/shell/endpoint/owner.ts'
 import { ConfigFollower } from '../../src/shell/config/follower.ts'
 import { ConfigStore } from '../../src/shell/config/store.ts'
 import { create } from '@bufbuild/protobuf'
 import { ConfirmedSchema } from '../../src/gen/peer_pb.ts'
 import type { Log } from '../../src/shell/log/log.ts'
-import type { SlotPort } from '../../src/shell/peer/port.ts'
+import type { SlotPort } from '../../src/shell/peer/slotport.ts'
 import type { ObjectStore } from '../../src/shell/platform/objectstore.ts'
 import { addressesOf } from './addresses.ts'
 import { Link } from './link.ts'
@@ -60,7 +60,7 @@
   private readonly links = new Map<HostId, Link>()
   private readonly slots: SlotPort = ownSlots(id => this.owners.get(id)?.value, () => [...this.owners.values()].map(held => held.value))
   private readonly context: CallerContext
-  private readonly reads: Reads
+  private readonly reads: SessionReadRouter
   private readonly configs: ConfigFollower
 
   private constructor (private readonly options: Options) {
@@ -79,7 +79,7 @@
       audit: { begin: () => ({ addAttempt: () => undefined, end: done => done }), flush: async () => undefined }
     }
     this.context = needed as CallerContext
-    this.reads = Reads.create(this.context)
+    this.reads = SessionReadRouter.create(this.context)
     this.configs = this.followConfig()
   }
 
@@ -149,7 +149,7 @@
   }
 
   private learn (sample: Sample): void {
-    this.groups.learn(sample)
+    this.groups.updateSample(sample)
     for (const owner of this.owners.values()) owner.value.applySample(sample)
   }
 
@@ -238,8 +238,8 @@
         this.broadcast(peer => peer.learnFromPeer(sample))
       },
       onWrote: (term, position, session) => {
-        this.groups.note(endpoint, term, position, session)
-        this.broadcast(peer => peer.groups.note(endpoint, term, position, session))
+        this.groups.addWriteNotice(endpoint, term, position, session)
+        this.broadcast(peer => peer.groups.addWriteNotice(endpoint, term, position, session))
       },
       record: onPromotion
     }, AbortSignal.any([stop.signal, process.signal]))
--- a/src/shell/caller/bound.ts
+++ b/src/shell/caller/boundrounds.ts
@@ -11,9 +11,9 @@
 type Waiter = (bound: Token | undefined) => void
 
 /** Rounds under way at once: one alone makes a read that just missed it wait for two. */
-const MOST_ROUNDS = 4
+const MAX_CONCURRENT_ROUNDS = 4
 /** How long a round may take; one that fails is followed by the next. */
-const ROUND_MS = 500
+const ROUND_TIMEOUT_MS = 500
 
 /**
  * Asks the primary for its position under proof that no newer term has begun:
@@ -26,7 +26,7 @@
 export class BoundRounds {
   private waiting: Waiter[] = []
   private running = 0
-  private isDue = false
+  private isScheduled = false
 
   private constructor (private readonly context: CallerContext, private readonly group: GroupId) {}
 
@@ -48,13 +48,13 @@
 
   /** What arrives in one turn of the loop shares a round. */
   private schedule (): void {
-    if (this.isDue || this.waiting.length === 0 || this.running >= MOST_ROUNDS) return
-    this.isDue = true
+    if (this.isScheduled || this.waiting.length === 0 || this.running >= MAX_CONCURRENT_ROUNDS) return
+    this.isScheduled = true
     setImmediate(() => this.start())
   }
 
   private async start (): Promise<void> {
-    this.isDue = false
+    this.isScheduled = false
     const joined = this.waiting
     this.waiting = []
     this.running++
@@ -77,23 +77,23 @@
       Promise.any(others.map(async other => await this.confirm(other.endpoint, term)))
     ])
     const bound = Token.of(term, own.received)
-    groups.mark(this.group, bound, at)
+    groups.addWatermark(this.group, bound, at)
     return bound
   }
 
   private async confirm (endpoint: EndpointId, term: Term): Promise<Confirmed> {
-    const answer = await this.context.port(endpoint)?.confirm(endpoint, term, 0 as Position, ROUND_MS)
+    const answer = await this.context.port(endpoint)?.confirm(endpoint, term, 0 as Position, ROUND_TIMEOUT_MS)
     if (answer?.ok !== true) throw new Error('not confirmed')
-    this.learn(endpoint, answer)
+    this.updateSample(endpoint, answer)
     return answer
   }
 
   /** The answer tells how far the endpoint's reads are, sooner than the next sample would. */
-  private learn (endpoint: EndpointId, answer: Confirmed): void {
+  private updateSample (endpoint: EndpointId, answer: Confirmed): void {
     const { groups } = this.context
     const known = groups.get(this.group)?.sample(endpoint)
     // In a term that the last sample doesn't know of, positions may stand for other entries.
     if (known === undefined || known.history.term !== answer.term || answer.applied <= known.applied) return
-    groups.learn(known.with({ applied: answer.applied as Position, received: answer.received as Position }))
+    groups.updateSample(known.with({ applied: answer.applied as Position, received: answer.received as Position }))
   }
 }
--- a/src/shell/caller/connection.ts
+++ b/src/shell/caller/connection.ts
@@ -15,19 +15,19 @@
 import type { Reply } from '../mysql/reply.ts'
 import { PreparedStatement } from '../mysql/statement.ts'
 import { answerText } from '../mysql/textresult.ts'
-import { refusal } from '../peer/answer.ts'
-import { inadmissible } from './admissible.ts'
+import { refusal } from '../peer/refusal.ts'
+import { refusalReason } from './refusalreason.ts'
 import { answerCaller } from './answer.ts'
-import { attempt } from './attempts.ts'
+import { runRequest } from './requestrun.ts'
 import type { CallerContext } from './context.ts'
 import type { Identity } from './identity.ts'
-import type { Reads } from './reads.ts'
+import type { SessionReadRouter } from './sessionreadrouter.ts'
 import type { Target } from './target.ts'
 import { CallerTransaction } from './transaction.ts'
 
 type Kind = ReturnType<typeof statementKind>
 
-interface Asked {
+interface ParsedRequest {
   readonly sql: string
   readonly kind: Kind
   /** The idempotency key; empty without one. */
@@ -35,11 +35,11 @@
 }
 
 /** Asks for the outcome of an earlier request by its idempotency key. */
-const OUTCOME = /^\s*show\s+agatepond\s+outcome\s+'([^']+)'\s*;?\s*$/i
+const OUTCOME_QUERY = /^\s*show\s+agatepond\s+outcome\s+'([^']+)'\s*;?\s*$/i
 /** Asks for the session's token in the database in use. */
-const TOKEN = /^select\s+@@agatepond_token\s*;?\s*$/i
+const TOKEN_QUERY = /^select\s+@@agatepond_token\s*;?\s*$/i
 /** Reasons after which no transaction is open. */
-const ENDING: ReadonlySet<string> = new Set(['lostTransaction', 'endedTransaction'])
+const TRANSACTION_ENDING_REASONS: ReadonlySet<string> = new Set(['lostTransaction', 'endedTransaction'])
 
 const ER_BAD_DB = 1049
 const ER_NOT_SUPPORTED = 1235
@@ -50,14 +50,14 @@
   private hints = Hints.none
   private transaction: CallerTransaction | undefined
   /** The transaction whose BEGIN is under way. */
-  private opening: CallerTransaction | undefined
+  private pendingTransaction: CallerTransaction | undefined
   private readonly statements = new Map<number, PreparedStatement>()
   private nextStatement = 1
   private readonly gone = new AbortController()
 
-  private constructor (private readonly context: CallerContext, private readonly reads: Reads, private identity: Identity) {}
+  private constructor (private readonly context: CallerContext, private readonly reads: SessionReadRouter, private identity: Identity) {}
 
-  static create (context: CallerContext, reads: Reads, identity: Identity): CallerConnection {
+  static create (context: CallerContext, reads: SessionReadRouter, identity: Identity): CallerConnection {
     return new CallerConnection(context, reads, identity)
   }
 
@@ -107,9 +107,9 @@
   }
 
   private rollBack (): void {
-    this.opening?.rollBack()
+    this.pendingTransaction?.rollBack()
     this.transaction?.rollBack()
-    this.opening = undefined
+    this.pendingTransaction = undefined
     this.transaction = undefined
   }
 
@@ -117,26 +117,26 @@
     const kind = statementKind(sql)
     if (kind === 'set') return this.set(sql, reply)
     if (kind === 'use') return await this.use(sql.replace(/^\s*use\s+/i, '').replace(/[`;\s]/g, ''), reply)
-    if (TOKEN.test(skipLeadingTrivia(sql))) return this.tellToken(sql, reply, isBinary)
-    const settled = OUTCOME.exec(sql)?.[1]
+    if (TOKEN_QUERY.test(skipLeadingTrivia(sql))) return this.sendToken(sql, reply, isBinary)
+    const settled = OUTCOME_QUERY.exec(sql)?.[1]
     if (settled !== undefined) return await this.ask({ sql: '', kind: 'write', once: settled }, reply, isBinary)
     if (this.transaction === undefined && (kind === 'commit' || kind === 'rollback')) return reply.ok()
     const own = Hints.parse(sql)
     const once = own.withDefaults(this.hints).fields.once ?? ''
-    const reason = inadmissible({ sql, isRead: kind === 'read', once, ownOnce: own.fields.once ?? '' }, this.transaction)
+    const reason = refusalReason({ sql, isRead: kind === 'read', once, statementOnce: own.fields.once ?? '' }, this.transaction)
     if (reason !== undefined) return answerCaller(this.refuse({ sql, kind, once }, reason), reply, this.transaction !== undefined)
     const isKeyed = this.transaction === undefined && (kind === 'write' || kind === 'begin')
     await this.ask({ sql, kind, once: isKeyed ? once : '' }, reply, isBinary)
   }
 
   /** The token that a caller may bring to another proxy, or keep; empty when the session has written nothing through this one. */
-  private tellToken (sql: string, reply: Reply, isBinary: boolean): void {
+  private sendToken (sql: string, reply: Reply, isBinary: boolean): void {
     const token = this.reads.token(this.identity, Hints.parse(sql).withDefaults(this.hints))
     answerText(reply, '@@agatepond_token', token.position === 0 ? '' : token.toString(), isBinary)
   }
 
   /** What isn't admissible goes nowhere, and is on record like any other request. */
-  private refuse (asked: Asked, reason: ReasonName): Done {
+  private refuse (asked: ParsedRequest, reason: ReasonName): Done {
     const { context, identity } = this
     const deadline = context.now()
     const done = refusal(0, reason)
@@ -145,10 +145,10 @@
     return trail.end(done)
   }
 
-  private async ask ({ sql, kind, once }: Asked, reply: Reply, isBinary: boolean): Promise<void> {
+  private async ask ({ sql, kind, once }: ParsedRequest, reply: Reply, isBinary: boolean): Promise<void> {
     const hints = Hints.parse(sql).withDefaults(this.hints)
     const { identity } = this
-    const done = await attempt(this.context, {
+    const done = await runRequest(this.context, {
       sql,
       kind,
       identity,
@@ -163,7 +163,7 @@
     answerCaller(done, reply, this.transaction !== undefined)
   }
 
-  private spec ({ sql, kind, once }: Asked, hints: Hints): RequestSpec {
+  private spec ({ sql, kind, once }: ParsedRequest, hints: Hints): RequestSpec {
     const { transaction } = this
     const inside = kind === 'commit' ? 'commit' : 'inside'
     const outside = kind === 'begin' ? 'begin' : 'alone'
@@ -178,7 +178,7 @@
   }
 
   /** Where the request goes next, or why it goes nowhere. */
-  private async target ({ kind, once }: Asked, hints: Hints, ms: number, avoid: readonly EndpointId[]): Promise<Target> {
+  private async target ({ kind, once }: ParsedRequest, hints: Hints, ms: number, avoid: readonly EndpointId[]): Promise<Target> {
     const { transaction } = this
     if (transaction !== undefined) return transaction.target(accessInTransaction(kind))
     if (kind === 'read') return await this.reads.route(this.identity, hints, ms, avoid)
@@ -190,20 +190,20 @@
     if (kind !== 'begin') return { kind: 'endpoint', endpoint, access: RunAccess.WRITE, transaction: '' }
     const port = this.context.port(endpoint)
     if (port === undefined) return { kind: 'nowhere', reason: 'noSlotOwner' }
-    this.opening?.rollBack()
-    this.opening = CallerTransaction.begin(endpoint, port, once)
-    return this.opening.target(RunAccess.TRANSACTION)
+    this.pendingTransaction?.rollBack()
+    this.pendingTransaction = CallerTransaction.begin(endpoint, port, once)
+    return this.pendingTransaction.target(RunAccess.TRANSACTION)
   }
 
   /** Takes in what the outcome says of the transaction. One whose BEGIN may have run is rolled back, or it would hold its connection. */
   private after (kind: Kind, done: Done): void {
     if (kind === 'begin') {
-      if (done.outcome === DoneOutcome.DONE) this.transaction = this.opening
-      else this.opening?.rollBack()
-      this.opening = undefined
+      if (done.outcome === DoneOutcome.DONE) this.transaction = this.pendingTransaction
+      else this.pendingTransaction?.rollBack()
+      this.pendingTransaction = undefined
       return
     }
-    const isOver = kind === 'commit' || kind === 'rollback' || ENDING.has(done.reason)
+    const isOver = kind === 'commit' || kind === 'rollback' || TRANSACTION_ENDING_REASONS.has(done.reason)
     if (!isOver) return
     if (done.outcome !== DoneOutcome.DONE) this.transaction?.rollBack()
     this.transaction = undefined
--- a/src/shell/caller/context.ts
+++ b/src/shell/caller/context.ts
@@ -9,7 +9,7 @@
 import type { SessionTable } from '../../core/session/sessiontable.ts'
 import type { Audit } from '../audit/audit.ts'
 import type { Metrics } from '../metrics/metrics.ts'
-import type { SlotPort } from '../peer/port.ts'
+import type { SlotPort } from '../peer/slotport.ts'
 import type { Groups } from './groups.ts'
 
 export interface CallerContext {
--- a/src/shell/caller/frontend.ts
+++ b/src/shell/caller/frontend.ts
@@ -6,14 +6,14 @@
 import type { Login } from '../mysql/login.ts'
 import { CallerConnection } from './connection.ts'
 import type { CallerContext } from './context.ts'
-import type { Reads } from './reads.ts'
+import type { SessionReadRouter } from './sessionreadrouter.ts'
 
 const ER_ACCESS_DENIED = 1045
 const ER_DBACCESS_DENIED = 1044
 const ER_SERVER_SHUTDOWN = 1053
 
 /** The handler of a caller, or the MySQL error that refuses it. */
-export async function acceptCaller (context: CallerContext, reads: Reads, login: Login): Promise<Handler | { readonly code: number, readonly message: string }> {
+export async function acceptCaller (context: CallerContext, reads: SessionReadRouter, login: Login): Promise<Handler | { readonly code: number, readonly message: string }> {
   const config = context.config()
   if (config === undefined) return { code: ER_SERVER_SHUTDOWN, message: 'this proxy has no configuration yet; try another' }
   const owns = config.pools.filter(pool => pool.callers.some(caller => caller.id === login.user))
--- a/src/shell/caller/groups.ts
+++ b/src/shell/caller/groups.ts
@@ -12,14 +12,14 @@
 import type { Token } from '../../core/token.ts'
 
 /** Notes of writes kept for each group: some seconds of a busy one. */
-const MOST_NOTES = 4096
+const MAX_WRITE_NOTICES = 4096
 
 /** Holds one immutable `Group` for each id; a sample of an older term never replaces a newer one. */
 export class Groups {
   private readonly groups = new Map<GroupId, Group>()
-  private readonly ids = new Map<EndpointId, GroupId>()
-  private readonly allMarks = new Map<GroupId, Watermarks>()
-  private readonly allWrites = new Map<GroupId, RecentWrites>()
+  private readonly groupIds = new Map<EndpointId, GroupId>()
+  private readonly watermarksByGroup = new Map<GroupId, Watermarks>()
+  private readonly recentWritesByGroup = new Map<GroupId, RecentWrites>()
   private readonly waiting = new Set<() => void>()
 
   private constructor () {}
@@ -34,45 +34,45 @@
 
   set (group: Group): void {
     this.groups.set(group.id, group)
-    for (const { endpoint } of group.samples) this.ids.set(endpoint, group.id)
+    for (const { endpoint } of group.samples) this.groupIds.set(endpoint, group.id)
   }
 
-  learn (sample: Sample): void {
-    const group = this.groups.get(this.ids.get(sample.endpoint)!)
+  updateSample (sample: Sample): void {
+    const group = this.groups.get(this.groupIds.get(sample.endpoint)!)
     const known = group?.sample(sample.endpoint)
     if (group === undefined || known === undefined || known.term > sample.term) return
     this.groups.set(group.id, group.with(sample))
-    this.wake()
+    this.notifyWaiters()
   }
 
   /** What this process has proved of the primary's progress. */
-  marks (id: GroupId): Watermarks {
-    return this.allMarks.get(id) ?? Watermarks.empty
+  watermarks (id: GroupId): Watermarks {
+    return this.watermarksByGroup.get(id) ?? Watermarks.empty
   }
 
-  mark (id: GroupId, bound: Token, at: Instant): void {
-    this.allMarks.set(id, this.marks(id).with(bound, at))
+  addWatermark (id: GroupId, bound: Token, at: Instant): void {
+    this.watermarksByGroup.set(id, this.watermarks(id).with(bound, at))
   }
 
   /** Which session made each recent write. */
-  writes (id: GroupId): RecentWrites {
-    const known = this.allWrites.get(id)
+  recentWrites (id: GroupId): RecentWrites {
+    const known = this.recentWritesByGroup.get(id)
     if (known !== undefined) return known
-    const writes = RecentWrites.create(MOST_NOTES)
-    this.allWrites.set(id, writes)
+    const writes = RecentWrites.create(MAX_WRITE_NOTICES)
+    this.recentWritesByGroup.set(id, writes)
     return writes
   }
 
   /** Takes in a slot owner's note of a write. */
-  note (endpoint: EndpointId, term: Term, position: Position, session: number): void {
-    const id = this.ids.get(endpoint)
+  addWriteNotice (endpoint: EndpointId, term: Term, position: Position, session: number): void {
+    const id = this.groupIds.get(endpoint)
     if (id === undefined) return
-    this.writes(id).add(term, position, session)
-    this.wake()
+    this.recentWrites(id).add(term, position, session)
+    this.notifyWaiters()
   }
 
   /** Resolves when anything was learnt, or after `ms`. */
-  async changed (ms: number): Promise<void> {
+  async waitForChange (ms: number): Promise<void> {
     await new Promise<void>(resolve => {
       const settle = (): void => {
         clearTimeout(timer)
@@ -84,7 +84,7 @@
     })
   }
 
-  private wake (): void {
+  private notifyWaiters (): void {
     for (const wake of [...this.waiting]) wake()
   }
 }
--- a/src/shell/caller/admissible.ts
+++ b/src/shell/caller/refusalreason.ts
@@ -4,17 +4,17 @@
 import { implicitCommit } from '../../core/request/implicitcommit.ts'
 import type { CallerTransaction } from './transaction.ts'
 
-interface Asked {
+interface ParsedRequest {
   readonly sql: string
   readonly isRead: boolean
   /** The key of the connection or the request; empty without one. */
   readonly once: string
   /** The key of the request itself. */
-  readonly ownOnce: string
+  readonly statementOnce: string
 }
 
 /** Why the request can't be taken; undefined when it can. */
-export function inadmissible ({ sql, isRead, once, ownOnce }: Asked, transaction: CallerTransaction | undefined): ReasonName | undefined {
+export function refusalReason ({ sql, isRead, once, statementOnce: ownOnce }: ParsedRequest, transaction: CallerTransaction | undefined): ReasonName | undefined {
   const commits = implicitCommit(sql)
   if (transaction !== undefined) {
     if (commits === 'always') return 'implicitCommit'
--- a/src/shell/caller/relay.ts
+++ b/src/shell/caller/relay.ts
@@ -4,8 +4,8 @@
 import { RunSchema, type Done, type Run } from '../../gen/peer_pb.ts'
 import { BinaryRows } from '../mysql/binaryrow.ts'
 import type { Reply } from '../mysql/reply.ts'
-import { refusal } from '../peer/answer.ts'
-import type { SlotPort } from '../peer/port.ts'
+import { refusal } from '../peer/refusal.ts'
+import type { SlotPort } from '../peer/slotport.ts'
 
 type Request = Omit<Run, '$typeName' | 'id' | '$unknown'>
 
--- a/src/shell/caller/attempts.ts
+++ b/src/shell/caller/requestrun.ts
@@ -15,7 +15,7 @@
 import { fingerprint } from '../../core/session/fingerprint.ts'
 import type { Audit } from '../audit/audit.ts'
 import type { Reply } from '../mysql/reply.ts'
-import { refusal } from '../peer/answer.ts'
+import { refusal } from '../peer/refusal.ts'
 import type { CallerContext } from './context.ts'
 import type { Identity } from './identity.ts'
 import { relay } from './relay.ts'
@@ -36,13 +36,13 @@
 }
 
 /** Resolves with the request's outcome. The signal is the caller's leaving. */
-export async function attempt (context: CallerContext, req: Request, reply: Reply, signal: AbortSignal): Promise<Done> {
-  return await new Promise(resolve => Running.start(context, req, reply, signal, resolve))
+export async function runRequest (context: CallerContext, req: Request, reply: Reply, signal: AbortSignal): Promise<Done> {
+  return await new Promise(resolve => RequestRun.start(context, req, reply, signal, resolve))
 }
 
-type Reached = Extract<Target, { kind: 'endpoint' }>
+type EndpointTarget = Extract<Target, { kind: 'endpoint' }>
 
-class Running {
+class RequestRun {
   private attempts: Attempts
   private target: Target | undefined
   private last: Done | undefined
@@ -51,10 +51,10 @@
   private timer: NodeJS.Timeout | undefined
   private readonly request = randomUUID()
   private readonly trail: ReturnType<Audit['begin']>
-  private began: Instant
+  private attemptStartedAt: Instant
   /** The newest attempt has no answer yet. */
-  private isSent = false
-  private readonly onLeft = (): void => this.hear({ kind: 'left' })
+  private isAwaitingAnswer = false
+  private readonly onCallerLeft = (): void => this.handleEvent({ kind: 'left' })
 
   private constructor (
     private readonly context: CallerContext,
@@ -64,33 +64,33 @@
     private readonly resolve: (done: Done) => void
   ) {
     this.attempts = Attempts.create(req.spec, context.retryBudget ?? alwaysRetry)
-    this.began = context.now()
+    this.attemptStartedAt = context.now()
     this.trail = context.audit.begin({ ...req, deadline: req.spec.deadline })
   }
 
   static start (context: CallerContext, req: Request, reply: Reply, signal: AbortSignal, resolve: (done: Done) => void): void {
-    const it = new Running(context, req, reply, signal, resolve)
+    const it = new RequestRun(context, req, reply, signal, resolve)
     if (it.signal.aborted) return it.finish(refusal(0, 'notSent'))
-    it.signal.addEventListener('abort', it.onLeft, { once: true })
-    it.arm()
-    it.hear({ kind: 'start' })
+    it.signal.addEventListener('abort', it.onCallerLeft, { once: true })
+    it.scheduleTick()
+    it.handleEvent({ kind: 'start' })
   }
 
-  private arm (): void {
+  private scheduleTick (): void {
     const ms = Math.max(1, this.attempts.tickDueAt - this.context.now())
     this.timer = setTimeout(() => {
-      this.hear({ kind: 'tick' })
-      if (!this.attempts.isOver) this.arm()
+      this.handleEvent({ kind: 'tick' })
+      if (!this.attempts.isOver) this.scheduleTick()
     }, ms)
   }
 
-  private hear (event: AttemptsEvent): void {
+  private handleEvent (event: AttemptsEvent): void {
     const step = this.attempts.step(event, this.context.now())
     this.attempts = step.attempts
-    for (const action of step.actions) this.act(action)
+    for (const action of step.actions) this.performAction(action)
   }
 
-  private act (action: AttemptsAction): void {
+  private performAction (action: AttemptsAction): void {
     switch (action.kind) {
       case 'route':
         this.route(action.ms, action.avoid)
@@ -99,35 +99,35 @@
         this.send(action.attempt, action.ms)
         return
       case 'wait':
-        this.context.groups.changed(action.ms).then(() => this.hear({ kind: 'resumed' }))
+        this.context.groups.waitForChange(action.ms).then(() => this.handleEvent({ kind: 'resumed' }))
         return
       case 'cancel': return this.cancel?.()
-      case 'answer': return this.finish(withReturn(this.last!, action.retryAfterMs))
+      case 'answer': return this.finish(withRetryAfter(this.last!, action.retryAfterMs))
       case 'refuse': return this.finish(refusal(0, action.reason, '', action.retryAfterMs))
     }
   }
 
-  private hearUnroutable (reason: ReasonName): void {
-    this.trail.addAttempt({ kind: 'nowhere', reason }, refusal(0, reason), this.began)
-    this.hear({ kind: 'unroutable', reason })
+  private handleUnroutable (reason: ReasonName): void {
+    this.trail.addAttempt({ kind: 'nowhere', reason }, refusal(0, reason), this.attemptStartedAt)
+    this.handleEvent({ kind: 'unroutable', reason })
   }
 
   private async route (ms: number, avoid: readonly EndpointId[]): Promise<void> {
-    this.began = this.context.now()
+    this.attemptStartedAt = this.context.now()
     const target = await this.req.target(ms, avoid)
     this.target = target
-    if (target.kind === 'nowhere') return this.hearUnroutable(target.reason)
+    if (target.kind === 'nowhere') return this.handleUnroutable(target.reason)
     const port = target.port ?? this.context.port(target.endpoint)
-    if (port === undefined) return this.hearUnroutable('noSlotOwner')
+    if (port === undefined) return this.handleUnroutable('noSlotOwner')
     this.target = { ...target, port }
-    this.hear({ kind: 'routed', endpoint: target.endpoint })
+    this.handleEvent({ kind: 'routed', endpoint: target.endpoint })
   }
 
   private async send (attempt: number, ms: number): Promise<void> {
     const { req } = this
-    const { endpoint, access, transaction, port } = this.target as Reached
+    const { endpoint, access, transaction, port } = this.target as EndpointTarget
     this.cancel = undefined
-    this.isSent = true
+    this.isAwaitingAnswer = true
     const done = await relay(port, {
       endpoint,
       sql: req.sql,
@@ -144,25 +144,25 @@
       database: req.identity.group.database
     }, this.reply, req.isBinary, cancel => { this.cancel = cancel })
     if (this.attempts.isOver) return
-    this.isSent = false
+    this.isAwaitingAnswer = false
     this.last = done
-    this.trail.addAttempt(this.target!, done, this.began)
-    if (this.reply.hasStarted) this.hear({ kind: 'rows', attempt })
-    this.hear({ kind: 'answered', attempt, outcome: outcomeOf(done), reason: done.reason === '' ? undefined : done.reason as ReasonName })
+    this.trail.addAttempt(this.target!, done, this.attemptStartedAt)
+    if (this.reply.hasStarted) this.handleEvent({ kind: 'rows', attempt })
+    this.handleEvent({ kind: 'answered', attempt, outcome: outcomeOf(done), reason: done.reason === '' ? undefined : done.reason as ReasonName })
   }
 
   private finish (done: Done): void {
     clearTimeout(this.timer)
-    this.signal.removeEventListener('abort', this.onLeft)
-    this.context.metrics.requests.inc({ kind: this.req.kind, place: placeOf(this.target), outcome: DoneOutcome[done.outcome].toLowerCase() })
-    if (this.isSent) this.trail.addAttempt(this.target!, done, this.began)
+    this.signal.removeEventListener('abort', this.onCallerLeft)
+    this.context.metrics.requests.inc({ kind: this.req.kind, place: placeLabel(this.target), outcome: DoneOutcome[done.outcome].toLowerCase() })
+    if (this.isAwaitingAnswer) this.trail.addAttempt(this.target!, done, this.attemptStartedAt)
     if (done.outcome === DoneOutcome.DONE) this.context.retryBudget?.recordSuccess()
     this.resolve(this.trail.end(done))
   }
 }
 
 /** Adds the time to come back to a refusal that has none. */
-function withReturn (done: Done, retryAfterMs: number): Done {
+function withRetryAfter (done: Done, retryAfterMs: number): Done {
   return done.outcome === DoneOutcome.NOT_RUN && done.retryAfterMs === 0 ? { ...done, retryAfterMs } : done
 }
 
@@ -175,7 +175,7 @@
   }
 }
 
-function placeOf (target: Target | undefined): string {
+function placeLabel (target: Target | undefined): string {
   if (target === undefined || target.kind === 'nowhere') return 'none'
   return target.access === RunAccess.READ ? 'replica' : 'primary'
 }
--- a/src/shell/caller/reads.test.ts
+++ b/src/shell/caller/sessionreadrouter.test.ts
@@ -20,7 +20,7 @@
 import type { CallerContext } from './context.ts'
 import { Groups } from './groups.ts'
 import type { Identity } from './identity.ts'
-import { Reads } from './reads.ts'
+import { SessionReadRouter } from './sessionreadrouter.ts'
 
 const IDS = ['e1', 'e2', 'e3'].map(id => id as EndpointId)
 /** Each look at the clock is so much later, so that no read waits for a lagging replica. */
@@ -32,7 +32,7 @@
   position = 10
   rounds = 0
   beforeAnswer = (): void => undefined
-  readonly reads: Reads
+  readonly reads: SessionReadRouter
   readonly groups = Groups.create()
   readonly identity: Identity
 
@@ -44,9 +44,9 @@
     const group = config.groups[0]!
     this.identity = { pool: config.pools[0]!, group, caller: 'c', session: 's' as SessionId, isNamed }
     this.groups.set(Group.of(group.id, IDS))
-    IDS.forEach((id, i) => this.groups.learn(sample(id, i === 0 ? 'primary' : 'replica', i === 0 ? this.position : applied)))
+    IDS.forEach((id, i) => this.groups.updateSample(sample(id, i === 0 ? 'primary' : 'replica', i === 0 ? this.position : applied)))
     const port = { confirm: async (id: EndpointId) => await this.confirm(id) }
-    this.reads = Reads.create({
+    this.reads = SessionReadRouter.create({
       config: () => config, groups: this.groups, sessions: SessionTable.create(10), port: () => port, dataCentre: 'dc' as DataCentreId, chance: () => 0, now: () => (this.now += STEP_MS) as Instant
     } as unknown as CallerContext)
   }
@@ -80,7 +80,7 @@
   it('sends a named session to a replica only when the notes clear it', async () => {
     const proxy = new Proxy(true, 9)
     expect(await proxy.read()).toBe('strict')
-    proxy.groups.note(IDS[0]!, 1 as Term, 10 as Position, 12345)
+    proxy.groups.addWriteNotice(IDS[0]!, 1 as Term, 10 as Position, 12345)
     expect(await proxy.read()).toBe('read')
   })
 
@@ -110,8 +110,8 @@
   it('calls nothing lost that was never acknowledged', async () => {
     const proxy = new Proxy(true, 9)
     proxy.beforeAnswer = () => {
-      proxy.groups.learn(sample(IDS[1]!, 'primary', 9, 2, 9))
-      proxy.groups.learn(sample(IDS[2]!, 'replica', 9, 2, 9))
+      proxy.groups.updateSample(sample(IDS[1]!, 'primary', 9, 2, 9))
+      proxy.groups.updateSample(sample(IDS[2]!, 'replica', 9, 2, 9))
     }
     expect(await proxy.read()).toBe('noPrimary')
   })
@@ -135,8 +135,8 @@
   it('tells a session once of a lost write', async () => {
     const proxy = new Proxy(false, 10)
     proxy.reads.wrote(proxy.identity, Hints.none, Token.of(1, 12))
-    proxy.groups.learn(sample(IDS[1]!, 'primary', 10, 2, 10))
-    proxy.groups.learn(sample(IDS[2]!, 'replica', 10, 2, 10))
+    proxy.groups.updateSample(sample(IDS[1]!, 'primary', 10, 2, 10))
+    proxy.groups.updateSample(sample(IDS[2]!, 'replica', 10, 2, 10))
     expect([await proxy.read(), await proxy.read()]).toEqual(['lostWrite', 'read'])
   })
 })
--- a/src/shell/caller/reads.ts
+++ b/src/shell/caller/sessionreadrouter.ts
@@ -13,14 +13,14 @@
 import { fingerprint } from '../../core/session/fingerprint.ts'
 import { requiredToken } from '../../core/session/requiredtoken.ts'
 import { Token } from '../../core/token.ts'
-import { BoundRounds } from './bound.ts'
+import { BoundRounds } from './boundrounds.ts'
 import type { CallerContext } from './context.ts'
 import { freshnessOf } from './freshness.ts'
 import type { Identity } from './identity.ts'
 import type { Target } from './target.ts'
 
 /** The share of a stated age after which the next mark is asked for. */
-const MARK_SHARE = 0.25
+const WATERMARK_REFRESH_SHARE = 0.25
 
 /** One read on its way. */
 interface Read {
@@ -37,24 +37,24 @@
 }
 
 /** Routes the reads of all callers of a process, and keeps what their sessions have written. */
-export class Reads {
+export class SessionReadRouter {
   private readonly rounds = new Map<GroupId, BoundRounds>()
   /** The near endpoints of a configuration's groups. */
-  private readonly nearby = new WeakMap<Identity['group'], ReadonlySet<EndpointId>>()
+  private readonly nearEndpoints = new WeakMap<Identity['group'], ReadonlySet<EndpointId>>()
 
   private constructor (private readonly context: CallerContext) {}
 
-  static create (context: CallerContext): Reads {
-    return new Reads(context)
+  static create (context: CallerContext): SessionReadRouter {
+    return new SessionReadRouter(context)
   }
 
   /** `ms` is what is left until the read's deadline; `avoid` lists endpoints that could not be reached just now. */
   async route (identity: Identity, hints: Hints, ms: number, avoid: readonly EndpointId[] = []): Promise<Target> {
     const since = this.context.now()
     const group = identity.group.id
-    const bound = mayRoam(identity, hints) ? await this.roundsOf(group).ask(ms) : undefined
+    const bound = mayWriteElsewhere(identity, hints) ? await this.boundRoundsOf(group).ask(ms) : undefined
     // Where nothing can be proved of the session's writes elsewhere, only a strict read is safe.
-    const isBlind = mayRoam(identity, hints) && bound === undefined
+    const isBlind = mayWriteElsewhere(identity, hints) && bound === undefined
     return await this.place({
       group,
       session: sessionOf(identity, hints),
@@ -85,28 +85,28 @@
       const known = groups.get(read.group)
       if (known?.isSampled !== true) return { kind: 'nowhere', reason: 'notSampled' }
       const group = read.avoid.reduce(withoutReplica, known)
-      const writes = groups.writes(read.group)
+      const writes = groups.recentWrites(read.group)
       const token = requiredToken({ ...read, group, writes, session: fingerprint(read.session) })
       const isNoteDue = read.bound !== undefined && writes.findGap(read.bound, group.minApplied) !== undefined
       const route = routeRead({
-        ...read, group, token, watermarks: groups.marks(read.group), now: now(), chance: this.context.chance(), isRefreshed, isWriteNoticePending: isNoteDue
+        ...read, group, token, watermarks: groups.watermarks(read.group), now: now(), chance: this.context.chance(), isRefreshed, isWriteNoticePending: isNoteDue
       })
       switch (route.kind) {
-        case 'lost': return this.tellLost(read)
+        case 'lost': return this.reportLostWrite(read)
         case 'none': return { kind: 'nowhere', reason: 'noPrimary' }
         case 'replica': {
-          this.keepMarks(read, ms)
+          this.refreshWatermark(read, ms)
           const sample = group.sample(route.endpoint)!
-          const evidence = replicaEvidence(read.freshness, token, sample, groups.marks(read.group).age(sample, now()))
+          const evidence = replicaEvidence(read.freshness, token, sample, groups.watermarks(read.group).age(sample, now()))
           return { kind: 'endpoint', endpoint: route.endpoint, access: RunAccess.READ, transaction: '', evidence }
         }
         case 'primary': return { kind: 'endpoint', endpoint: route.endpoint, access: RunAccess.STRICT, transaction: '' }
         case 'note':
-          await groups.changed(route.ms)
+          await groups.waitForChange(route.ms)
           break
         case 'wait':
-          if (route.ms > 0) await groups.changed(route.ms)
-          await this.roundsOf(read.group).ask(ms)
+          if (route.ms > 0) await groups.waitForChange(route.ms)
+          await this.boundRoundsOf(read.group).ask(ms)
           isRefreshed = true
       }
     }
@@ -117,18 +117,18 @@
    * of a stated age that all go to the primary once in that time: when the
    * last mark is too old, replicas need their whole lag to reach the next.
    */
-  private keepMarks ({ group, freshness }: Read, ms: number): void {
+  private refreshWatermark ({ group, freshness }: Read, ms: number): void {
     if (freshness.kind !== 'age') return
-    const { newest } = this.context.groups.marks(group)
-    const isYoung = newest !== undefined && this.context.now() - newest < freshness.ms * MARK_SHARE
-    if (!isYoung) this.roundsOf(group).ask(ms)
+    const { newest } = this.context.groups.watermarks(group)
+    const isYoung = newest !== undefined && this.context.now() - newest < freshness.ms * WATERMARK_REFRESH_SHARE
+    if (!isYoung) this.boundRoundsOf(group).ask(ms)
   }
 
   /**
    * A session is told once that a write of it was lost, and then goes on with
    * what the new term kept: it would be refused for ever otherwise.
    */
-  private tellLost ({ group, session, known }: Read): Target {
+  private reportLostWrite ({ group, session, known }: Read): Target {
     const { groups, sessions } = this.context
     const history = groups.get(group)!.history
     // Against a failover between the bound and this step: what lies past the fork then is the bound, which
@@ -139,7 +139,7 @@
     return { kind: 'nowhere', reason: 'lostWrite' }
   }
 
-  private roundsOf (group: GroupId): BoundRounds {
+  private boundRoundsOf (group: GroupId): BoundRounds {
     const known = this.rounds.get(group)
     if (known !== undefined) return known
     const rounds = BoundRounds.create(this.context, group)
@@ -148,10 +148,10 @@
   }
 
   private near ({ group }: Identity): ReadonlySet<EndpointId> {
-    const known = this.nearby.get(group)
+    const known = this.nearEndpoints.get(group)
     if (known !== undefined) return known
     const near = new Set(group.endpoints.filter(one => one.dataCentre === this.context.dataCentre).map(one => one.id))
-    this.nearby.set(group, near)
+    this.nearEndpoints.set(group, near)
     return near
   }
 }
@@ -165,7 +165,7 @@
  * brings as its token covers its writes, and a connection without a session's
  * name is its own session.
  */
-function mayRoam (identity: Identity, hints: Hints): boolean {
+function mayWriteElsewhere (identity: Identity, hints: Hints): boolean {
   if (freshnessOf(identity, hints).kind === 'strict') return false
   const isNamed = identity.isNamed || hints.fields.session !== undefined
   return isNamed && hints.fields.token === undefined
--- a/src/shell/caller/target.ts
+++ b/src/shell/caller/target.ts
@@ -4,7 +4,7 @@
 import type { Evidence } from '../../core/audit/evidence.ts'
 import type { EndpointId } from '../../core/id/endpoint.ts'
 import type { ReasonName } from '../../core/reasonname.ts'
-import type { SlotPort } from '../peer/port.ts'
+import type { SlotPort } from '../peer/slotport.ts'
 
 /** The endpoint and what has to be proved there; or why the request can go nowhere now. */
 export type Target =
--- a/src/shell/caller/transaction.ts
+++ b/src/shell/caller/transaction.ts
@@ -4,7 +4,7 @@
 import { Run_Access as RunAccess } from '../../gen/peer_pb.ts'
 import type { EndpointId } from '../../core/id/endpoint.ts'
 import type { TransactionId } from '../../core/id/transaction.ts'
-import type { SlotPort } from '../peer/port.ts'
+import type { SlotPort } from '../peer/slotport.ts'
 import type { Target } from './target.ts'
 
 /**
--- a/src/shell/config/survey.ts
+++ b/src/shell/config/survey.ts
@@ -4,7 +4,7 @@
 import { createGrpcTransport } from '@connectrpc/connect-node'
 import { Peer } from '../../gen/peer_pb.ts'
 import type { TlsKeys } from '../peer/tlskeys.ts'
-import { sessionTo } from '../peer/tlssession.ts'
+import { createPeerSession } from '../peer/tlssession.ts'
 import type { HostList } from '../platform/hostlist.ts'
 
 type Host = Awaited<ReturnType<HostList['hosts']>>[number]
@@ -26,7 +26,7 @@
 }
 
 async function ask ({ id, peers, dataCentre, state }: Host, timeoutMs: number, keys: TlsKeys | undefined): Promise<HostStatus> {
-  const client = createClient(Peer, createGrpcTransport(sessionTo(peers, id, keys)))
+  const client = createClient(Peer, createGrpcTransport(createPeerSession(peers, id, keys)))
   try {
     const { host, version, ready, reason, waiting } = await client.status({}, { timeoutMs })
     const notes = [...reason === '' ? [] : [reason], ...waiting.map(one => `waits: ${one}`)]
--- a/src/shell/endpoint/runningrequests.ts
+++ b/src/shell/endpoint/runningrequests.ts
@@ -2,8 +2,8 @@
 
 import { Run_Access as RunAccess, type Run } from '../../gen/peer_pb.ts'
 import type { ReasonName } from '../../core/reasonname.ts'
-import { refusal } from '../peer/answer.ts'
-import type { SlotPort } from '../peer/port.ts'
+import { refusal } from '../peer/refusal.ts'
+import type { SlotPort } from '../peer/slotport.ts'
 
 type Sink = Parameters<SlotPort['run']>[1]
 type Running = ReturnType<SlotPort['run']>
--- a/src/shell/node/confirm.test.ts
+++ b/src/shell/node/confirm.test.ts
@@ -6,7 +6,7 @@
 import type { EndpointId } from '../../core/id/endpoint.ts'
 import type { Position } from '../../core/id/position.ts'
 import type { Term } from '../../core/id/term.ts'
-import type { SlotPort } from '../peer/port.ts'
+import type { SlotPort } from '../peer/slotport.ts'
 import { confirmWhereHeld } from './confirm.ts'
 
 const question = { endpoint: 'e' as EndpointId, term: 1 as Term, position: 1 as Position, ms: 60_000 }
--- a/src/shell/node/confirm.ts
+++ b/src/shell/node/confirm.ts
@@ -5,7 +5,7 @@
 import type { EndpointId } from '../../core/id/endpoint.ts'
 import type { Position } from '../../core/id/position.ts'
 import type { Term } from '../../core/id/term.ts'
-import type { SlotPort } from '../peer/port.ts'
+import type { SlotPort } from '../peer/slotport.ts'
 
 interface Question {
   readonly endpoint: EndpointId
--- a/src/shell/node/firstheard.ts
+++ b/src/shell/node/firstheard.ts
@@ -18,7 +18,7 @@
   /** Resolves when each group has had a primary, or after `ms`. */
   async wait (ids: readonly GroupId[], ms: number): Promise<void> {
     const end = performance.now() + ms
-    while (!this.areHeard(ids) && performance.now() < end) await this.groups.changed(POLL_MS)
+    while (!this.areHeard(ids) && performance.now() < end) await this.groups.waitForChange(POLL_MS)
   }
 
   private areHeard (ids: readonly GroupId[]): boolean {
--- a/src/shell/node/heldslot.ts
+++ b/src/shell/node/heldslot.ts
@@ -8,8 +8,8 @@
 import type { EndpointId } from '../../core/id/endpoint.ts'
 import { statementKind } from '../../core/routing/statementkind.ts'
 import type { SlotOwner } from '../endpoint/owner.ts'
-import { refusal } from '../peer/answer.ts'
-import type { SlotPort } from '../peer/port.ts'
+import { refusal } from '../peer/refusal.ts'
+import type { SlotPort } from '../peer/slotport.ts'
 
 type Sink = Parameters<SlotPort['run']>[1]
 type Running = ReturnType<SlotPort['run']>
--- a/src/shell/node/node.ts
+++ b/src/shell/node/node.ts
@@ -16,7 +16,7 @@
 import type { CallerContext } from '../caller/context.ts'
 import { acceptCaller } from '../caller/frontend.ts'
 import { Groups } from '../caller/groups.ts'
-import { Reads } from '../caller/reads.ts'
+import { SessionReadRouter } from '../caller/sessionreadrouter.ts'
 import { ConfigFollower } from '../config/follower.ts'
 import { ConfigStore } from '../config/store.ts'
 import { Log } from '../log/log.ts'
@@ -24,8 +24,8 @@
 import type { Handler } from '../mysql/handler.ts'
 import type { Login } from '../mysql/login.ts'
 import { MysqlServer } from '../mysql/server.ts'
-import { refusal } from '../peer/answer.ts'
-import type { SlotPort } from '../peer/port.ts'
+import { refusal } from '../peer/refusal.ts'
+import type { SlotPort } from '../peer/slotport.ts'
 import { TlsKeys } from '../peer/tlskeys.ts'
 import { PeerServer } from '../peer/server.ts'
 import { DynamoTable } from '../platform/dynamotable.ts'
@@ -103,12 +103,12 @@
       ...addressOf(settings.listen.peers),
       host: host.id as HostId,
       incarnation,
-      beatMs: settings.peers.beat,
-      silentMs: settings.peers.silent,
+      heartbeatIntervalMs: settings.peers.beat,
+      silenceTimeoutMs: settings.peers.silent,
       slots: it.ownSlots(),
       keys,
       log,
-      greeting: (): Frame['body'][] => [{ case: 'held', value: slots.heldFrame() }],
+      initialFrames: (): Frame['body'][] => [{ case: 'held', value: slots.heldFrame() }],
       onConfig: (from, body, reply) => it.configs?.receive(from, body, reply),
       status: () => it.status(host.id, incarnation)
     }, signal)
@@ -135,7 +135,7 @@
       metrics,
       audit: it.audit
     }
-    const reads = Reads.create(context)
+    const reads = SessionReadRouter.create(context)
     const { ip, port } = addressOf(settings.listen.callers)
     it.mysql = await MysqlServer.listen({
       host: ip,
--- a/src/shell/node/peers.ts
+++ b/src/shell/node/peers.ts
@@ -82,7 +82,7 @@
 
   /** Sends a frame to a host if it's linked. */
   tell (host: HostId, body: Frame['body']): void {
-    this.links.get(host)?.link.tell(body)
+    this.links.get(host)?.link.sendIfLinked(body)
   }
 
   /** Closes all links. */
@@ -114,15 +114,15 @@
       peer: host.id,
       keys,
       incarnation,
-      beatMs: settings.peers.beat,
-      silentMs: settings.peers.silent,
-      retryMs: settings.peers.retry,
+      heartbeatIntervalMs: settings.peers.beat,
+      silenceTimeoutMs: settings.peers.silent,
+      retryIntervalMs: settings.peers.retry,
       log,
       onSample: this.options.onSample,
       onWrote: this.options.onWrote,
       onLinked: () => this.options.onLinked(host.id),
       onConfig: body => this.options.onConfig(host.id, body),
-      onHeard: heard => this.hear({ kind: 'heard', host: host.id, incarnation: heard }),
+      onActivity: heard => this.hear({ kind: 'heard', host: host.id, incarnation: heard }),
       onHeld: ({ endpoints, leaving }) => {
         this.hear({ kind: 'held', host: host.id, endpoints: endpoints as EndpointId[], isLeaving: leaving })
         this.options.onChange()
--- a/src/shell/node/slots.ts
+++ b/src/shell/node/slots.ts
@@ -15,8 +15,8 @@
 import { slotStateOf } from '../../core/membership/slotstate.ts'
 import { decideOwnership } from '../../core/membership/ownership.ts'
 import { requiredPeers } from '../../core/membership/requiredpeers.ts'
-import { sampleFrame } from '../peer/frames.ts'
-import type { SlotPort } from '../peer/port.ts'
+import { sampleFrame } from '../peer/sampleframe.ts'
+import type { SlotPort } from '../peer/slotport.ts'
 import { addGroups } from './addgroups.ts'
 import { Claims } from './claims.ts'
 import { confirmWhereHeld } from './confirm.ts'
@@ -147,13 +147,13 @@
   }
 
   private learn (sample: Sample): void {
-    this.options.groups.learn(sample)
+    this.options.groups.updateSample(sample)
     for (const slot of this.held.values()) slot.learn(sample)
   }
 
   /** Takes in who made a write, from an owner here or elsewhere. */
   private note ({ endpoint, term, position, session }: Wrote): void {
-    this.options.groups.note(endpoint as EndpointId, term as Term, position as Position, session)
+    this.options.groups.addWriteNotice(endpoint as EndpointId, term as Term, position as Position, session)
   }
 
   private place (): void {
--- a/src/shell/peer/hop.test.ts
+++ b/src/shell/peer/hop.test.ts
@@ -11,13 +11,13 @@
 import type { Log } from '../log/log.ts'
 import { AsyncQueue } from '../queue.ts'
 import { PeerLink } from './link.ts'
-import type { SlotPort } from './port.ts'
+import type { SlotPort } from './slotport.ts'
 import { PeerServer } from './server.ts'
 
 const log = { write: () => undefined } as unknown as Log
-const times = { beatMs: 20, silentMs: 200, retryMs: 10 }
+const times = { heartbeatIntervalMs: 20, silenceTimeoutMs: 200, retryIntervalMs: 10 }
 /** What a link tells its process besides answers; not looked at here. */
-const deaf = { onSample: ignore, onWrote: ignore, onLinked: ignore, onLost: ignore, onHeard: ignore, onHeld: ignore, onConfig: ignore }
+const deaf = { onSample: ignore, onWrote: ignore, onLinked: ignore, onLost: ignore, onActivity: ignore, onHeld: ignore, onConfig: ignore }
 const hello: Frame['body'] = { case: 'hello', value: create(HelloSchema, { host: 'b', incarnation: '1' }) }
 const done = (id: number): Frame['body'] => ({ case: 'done', value: create(DoneSchema, { id, outcome: DoneOutcome.DONE }) })
 const rows = (id: number, text: string): Frame['body'] => ({ case: 'rows', value: create(RowsSchema, { id, rows: [Buffer.from(text)] }) })
@@ -52,7 +52,7 @@
     for (const session of sessions) session.destroy()
   })
   const { port } = server.address() as AddressInfo
-  const link = PeerLink.open({ ...times, silentMs: 5000, address: `127.0.0.1:${port}`, self: 'a' as HostId, peer: 'b' as HostId, incarnation: '1', log, ...deaf }, stop.signal)
+  const link = PeerLink.open({ ...times, silenceTimeoutMs: 5000, address: `127.0.0.1:${port}`, self: 'a' as HostId, peer: 'b' as HostId, incarnation: '1', log, ...deaf }, stop.signal)
   await until(() => link.isLinked)
   return { link }
 }
@@ -128,7 +128,7 @@
       release: id => { events.push(`release ${id}`) }
     }
     const port = await freePort()
-    await PeerServer.listen({ ip: '127.0.0.1', port, host: 'b' as HostId, incarnation: '1', ...times, slots, greeting: () => [], onConfig: () => undefined, status: () => ({}) }, stop.signal)
+    await PeerServer.listen({ ip: '127.0.0.1', port, host: 'b' as HostId, incarnation: '1', ...times, slots, initialFrames: () => [], onConfig: () => undefined, status: () => ({}) }, stop.signal)
     const out = AsyncQueue.create<Frame['body']>()
     const answers = createClient(Peer, createGrpcTransport({ baseUrl: `http://127.0.0.1:${port}` })).link(batches(out), { signal: stop.signal })
     out.push(hello)
@@ -156,7 +156,7 @@
     }
     const port = await freePort()
     const teller = { write: (event: string, fields: unknown) => told.push([event, fields]) } as unknown as Log
-    await PeerServer.listen({ ip: '127.0.0.1', port, host: 'b' as HostId, incarnation: '1', ...times, slots, greeting: () => [], onConfig: () => undefined, status: () => ({}), log: teller }, stop.signal)
+    await PeerServer.listen({ ip: '127.0.0.1', port, host: 'b' as HostId, incarnation: '1', ...times, slots, initialFrames: () => [], onConfig: () => undefined, status: () => ({}), log: teller }, stop.signal)
     const out = AsyncQueue.create<Frame['body']>()
     const answers = createClient(Peer, createGrpcTransport({ baseUrl: `http://127.0.0.1:${port}` })).link(batches(out), { signal: stop.signal })
     out.push(hello)
--- a/src/shell/peer/link.test.ts
+++ b/src/shell/peer/link.test.ts
@@ -15,7 +15,7 @@
     const [port] = await freePorts(1)
     const slots = { run: () => { throw new Error('not asked') }, confirm: async () => { throw new Error('not asked') }, release: () => undefined }
     await PeerServer.listen({
-      ip: '127.0.0.1', port: port!, host: answering as HostId, incarnation: '1', beatMs: 200, silentMs: 60_000, slots, greeting: () => [], onConfig: () => undefined, status: () => ({})
+      ip: '127.0.0.1', port: port!, host: answering as HostId, incarnation: '1', heartbeatIntervalMs: 200, silenceTimeoutMs: 60_000, slots, initialFrames: () => [], onConfig: () => undefined, status: () => ({})
     }, stop.signal)
     const heard = await new Promise<boolean>(resolve => {
       PeerLink.open({
@@ -23,16 +23,16 @@
         self: 'host-1' as HostId,
         peer: 'host-2' as HostId,
         incarnation: '1',
-        beatMs: 200,
-        silentMs: 60_000,
-        retryMs: 100,
+        heartbeatIntervalMs: 200,
+        silenceTimeoutMs: 60_000,
+        retryIntervalMs: 100,
         log: Log.silent,
         onSample: () => undefined,
         onWrote: () => undefined,
         onLinked: () => undefined,
         onConfig: () => undefined,
         onHeld: () => undefined,
-        onHeard: () => resolve(true),
+        onActivity: () => resolve(true),
         onLost: () => resolve(false)
       }, stop.signal)
     })
--- a/src/shell/peer/link.ts
+++ b/src/shell/peer/link.ts
@@ -11,25 +11,25 @@
 import type { TransactionId } from '../../core/id/transaction.ts'
 import type { Log } from '../log/log.ts'
 import { AsyncQueue } from '../queue.ts'
-import { refusal } from './answer.ts'
-import type { SlotPort } from './port.ts'
+import { refusal } from './refusal.ts'
+import type { SlotPort } from './slotport.ts'
 import type { TlsKeys } from './tlskeys.ts'
-import { sessionTo } from './tlssession.ts'
+import { createPeerSession } from './tlssession.ts'
 
 interface Options {
   readonly address: string
   readonly self: HostId
   readonly peer: HostId
   readonly incarnation: string
-  readonly beatMs: number
-  readonly silentMs: number
-  readonly retryMs: number
+  readonly heartbeatIntervalMs: number
+  readonly silenceTimeoutMs: number
+  readonly retryIntervalMs: number
   readonly log: Log
   /** Without them the link is in clear text. */
   readonly keys?: TlsKeys | undefined
   readonly onSample: (frame: Extract<Frame['body'], { case: 'sample' }>['value']) => void
   /** Anything arrived, from this incarnation of the peer. */
-  readonly onHeard: (incarnation: string) => void
+  readonly onActivity: (incarnation: string) => void
   readonly onHeld: (frame: Extract<Frame['body'], { case: 'held' }>['value']) => void
   /** The stream broke or went silent. Called before what was asked on it ends. */
   readonly onLost: () => void
@@ -39,17 +39,17 @@
   readonly onConfig: (body: Frame['body']) => void
 }
 
-const MOST_ID = 0xffffffff
+const MAX_ID = 0xffffffff
 
 type Sink = Parameters<SlotPort['run']>[1]
 
 /** Asks one peer's slots. What can't be sent is refused at once, as proved not run. */
 export class PeerLink implements SlotPort {
   private out: AsyncQueue<Frame> | undefined
-  private readonly asked = new Map<number, Sink>()
-  private readonly confirms = new Map<number, (answer: Confirmed) => void>()
+  private readonly sinks = new Map<number, Sink>()
+  private readonly pendingConfirms = new Map<number, (answer: Confirmed) => void>()
   private nextId = 0
-  private lastHeard = 0
+  private lastReceivedMs = 0
   private isUp = false
   /** The peer's, from the hello of the stream in use. */
   private incarnation = ''
@@ -58,7 +58,7 @@
 
   static open (options: Options, signal: AbortSignal): PeerLink {
     const it = new PeerLink(options)
-    it.keep(signal)
+    it.keepOpen(signal)
     return it
   }
 
@@ -72,12 +72,12 @@
       sink.done(refusal(id, 'noSlotOwner'))
       return { credit: () => undefined, cancel: () => undefined }
     }
-    this.asked.set(id, sink)
+    this.sinks.set(id, sink)
     this.send({ case: 'run', value: { ...req, id } })
     return {
       credit: bytes => this.send({ case: 'credit', value: { $typeName: 'agatepond.peer.v1.Credit', id, bytes } }),
       cancel: () => {
-        if (!this.asked.delete(id)) return
+        if (!this.sinks.delete(id)) return
         this.send({ case: 'cancel', value: { $typeName: 'agatepond.peer.v1.Cancel', id } })
       }
     }
@@ -87,7 +87,7 @@
     if (!this.isUp) return create(ConfirmedSchema, { ok: false })
     const id = this.newId()
     return await new Promise(resolve => {
-      this.confirms.set(id, resolve)
+      this.pendingConfirms.set(id, resolve)
       this.send({ case: 'confirm', value: { $typeName: 'agatepond.peer.v1.Confirm', id, endpoint, term, position, deadlineMs: ms } })
     })
   }
@@ -96,14 +96,14 @@
     this.send({ case: 'release', value: { $typeName: 'agatepond.peer.v1.Release', transaction } })
   }
 
-  tell (body: Frame['body']): void {
+  sendIfLinked (body: Frame['body']): void {
     if (this.isUp) this.send(body)
   }
 
   /** Ids are 32 bits wide, and a busy link uses them up within days; one that is still in use is passed over. */
   private newId (): number {
-    do this.nextId = this.nextId % MOST_ID + 1
-    while (this.asked.has(this.nextId) || this.confirms.has(this.nextId))
+    do this.nextId = this.nextId % MAX_ID + 1
+    while (this.sinks.has(this.nextId) || this.pendingConfirms.has(this.nextId))
     return this.nextId
   }
 
@@ -111,32 +111,32 @@
     this.out?.push(create(FrameSchema, { body }))
   }
 
-  private async keep (signal: AbortSignal): Promise<void> {
+  private async keepOpen (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.hold(signal)
-      await new Promise(resolve => { setTimeout(resolve, this.options.retryMs) })
+      await this.runStream(signal)
+      await new Promise(resolve => { setTimeout(resolve, this.options.retryIntervalMs) })
     }
   }
 
   /** Holds one stream until it breaks, goes silent or the process ends. */
-  private async hold (signal: AbortSignal): Promise<void> {
+  private async runStream (signal: AbortSignal): Promise<void> {
     const { options } = this
     const broken = new AbortController()
     const stop = (): void => broken.abort()
     signal.addEventListener('abort', stop, { once: true })
     const out = AsyncQueue.create<Frame>()
     this.out = out
-    this.lastHeard = performance.now()
-    const session = sessionTo(options.address, options.peer, options.keys)
+    this.lastReceivedMs = performance.now()
+    const session = createPeerSession(options.address, options.peer, options.keys)
     const transport = createGrpcTransport(session)
     this.send({ case: 'hello', value: { $typeName: 'agatepond.peer.v1.Hello', host: options.self, incarnation: options.incarnation } })
     const beat = setInterval(() => {
-      if (performance.now() - this.lastHeard > options.silentMs) return stop()
+      if (performance.now() - this.lastReceivedMs > options.silenceTimeoutMs) return stop()
       this.send({ case: 'beat', value: { $typeName: 'agatepond.peer.v1.Beat' } })
-    }, options.beatMs)
+    }, options.heartbeatIntervalMs)
     try {
       const answers = createClient(Peer, transport).link(batches(out), { signal: broken.signal })
-      for await (const batch of answers) this.take(batch)
+      for await (const batch of answers) this.handleBatch(batch)
     } catch {
       // Refused, broken or silent: all end the same way below.
     }
@@ -144,63 +144,63 @@
     signal.removeEventListener('abort', stop)
     out.close()
     session.sessionManager.abort()
-    this.fall()
+    this.handleLoss()
   }
 
-  private take (batch: Batch): void {
-    this.lastHeard = performance.now()
-    for (const { body } of batch.frames) this.takeFrame(body)
-    if (this.isUp) this.options.onHeard(this.incarnation)
+  private handleBatch (batch: Batch): void {
+    this.lastReceivedMs = performance.now()
+    for (const { body } of batch.frames) this.handleFrame(body)
+    if (this.isUp) this.options.onActivity(this.incarnation)
   }
 
   /**
    * Against an address that another host's process has been given since the
    * list was made: it would answer for slots that its namesake holds.
    */
-  private greeted (host: string, incarnation: string): void {
+  private handleHello (host: string, incarnation: string): void {
     if (host !== this.options.peer) throw new Error(`${this.options.address} is ${host} now`)
     this.isUp = true
     this.incarnation = incarnation
-    this.options.onHeard(incarnation)
+    this.options.onActivity(incarnation)
     this.options.log.write('peerLinked', { peer: this.options.peer })
     this.options.onLinked()
   }
 
-  private takeFrame (body: Frame['body']): void {
+  private handleFrame (body: Frame['body']): void {
     switch (body.case) {
-      case 'hello': return this.greeted(body.value.host, body.value.incarnation)
+      case 'hello': return this.handleHello(body.value.host, body.value.incarnation)
       case 'held': return this.options.onHeld(body.value)
       case 'configDigest':
       case 'configBody': return this.options.onConfig(body)
       case 'sample': return this.options.onSample(body.value)
       case 'wrote': return this.options.onWrote(body.value)
-      case 'head': return this.asked.get(body.value.id)?.head(body.value.columns)
-      case 'rows': return this.asked.get(body.value.id)?.rows(body.value.rows)
+      case 'head': return this.sinks.get(body.value.id)?.head(body.value.columns)
+      case 'rows': return this.sinks.get(body.value.id)?.rows(body.value.rows)
       case 'done': return this.finish(body.value)
       case 'confirmed':
-        this.confirms.get(body.value.id)?.(body.value)
-        this.confirms.delete(body.value.id)
+        this.pendingConfirms.get(body.value.id)?.(body.value)
+        this.pendingConfirms.delete(body.value.id)
     }
   }
 
   private finish (done: Done): void {
-    const sink = this.asked.get(done.id)
-    this.asked.delete(done.id)
+    const sink = this.sinks.get(done.id)
+    this.sinks.delete(done.id)
     sink?.done(done)
   }
 
   /** The stream is gone: whatever was sent on it may have run. */
-  private fall (): void {
+  private handleLoss (): void {
     if (this.isUp) this.options.log.write('peerLost', { peer: this.options.peer })
     this.isUp = false
     this.out = undefined
     this.options.onLost()
-    for (const [id, sink] of [...this.asked]) {
-      this.asked.delete(id)
+    for (const [id, sink] of [...this.sinks]) {
+      this.sinks.delete(id)
       sink.done(refusal(id, 'lost', 'the process that holds the slot is gone'))
     }
-    for (const resolve of this.confirms.values()) resolve(create(ConfirmedSchema, { ok: false }))
-    this.confirms.clear()
+    for (const resolve of this.pendingConfirms.values()) resolve(create(ConfirmedSchema, { ok: false }))
+    this.pendingConfirms.clear()
   }
 }
 
--- a/src/shell/peer/server.ts
+++ b/src/shell/peer/server.ts
@@ -11,9 +11,9 @@
 import type { TransactionId } from '../../core/id/transaction.ts'
 import { Log } from '../log/log.ts'
 import { AsyncQueue } from '../queue.ts'
-import type { SlotPort } from './port.ts'
+import type { SlotPort } from './slotport.ts'
 import type { TlsKeys } from './tlskeys.ts'
-import { isMadeFor } from './tlsname.ts'
+import { isCertificateFor } from './tlsname.ts'
 import { TlsServer } from './tlsserver.ts'
 
 interface Options {
@@ -21,14 +21,14 @@
   readonly port: number
   readonly host: HostId
   readonly incarnation: string
-  readonly beatMs: number
-  readonly silentMs: number
+  readonly heartbeatIntervalMs: number
+  readonly silenceTimeoutMs: number
   readonly slots: SlotPort
   /** Without them links are in clear text. */
   readonly keys?: TlsKeys | undefined
   readonly log?: Log
   /** Frames that a new link is sent at once, so that it knows what the others know. */
-  readonly greeting: () => readonly Frame['body'][]
+  readonly initialFrames: () => readonly Frame['body'][]
   /** A frame of the gossip of configurations; `reply` answers on the same link. */
   readonly onConfig: (from: HostId, body: Frame['body'], reply: (body: Frame['body']) => void) => void
   readonly status: () => MessageInitShape<typeof StatusReplySchema>
@@ -36,7 +36,7 @@
 
 /** Serves the slots of this process to its peers. */
 export class PeerServer {
-  private readonly links = new Set<Inbound>()
+  private readonly links = new Set<InboundLink>()
 
   private constructor (private readonly options: Options) {}
 
@@ -72,7 +72,7 @@
   }
 
   private async * link (batches: AsyncIterable<Batch>, certificate: X509Certificate | undefined): AsyncGenerator<Batch> {
-    const link = Inbound.open(this.options, certificate)
+    const link = InboundLink.open(this.options, certificate)
     this.links.add(link)
     link.read(batches)
     try {
@@ -85,36 +85,36 @@
 }
 
 /** One peer that asks. When it's gone or silent, what it asked for is given up and its transactions are rolled back. */
-class Inbound {
+class InboundLink {
   readonly out = AsyncQueue.create<Frame>()
   private readonly running = new Map<number, ReturnType<SlotPort['run']>>()
   /** Those that are open. A lost COMMIT or ROLLBACK leaves its own here until the peer releases it. */
   private readonly transactions = new Set<TransactionId>()
   private host = '' as HostId
-  private lastHeard = performance.now()
+  private lastReceivedMs = performance.now()
   private readonly beat: NodeJS.Timeout
   private isClosed = false
-  private isAdmitted = false
+  private isAccepted = false
 
   private constructor (private readonly options: Options, private readonly certificate: X509Certificate | undefined) {
-    this.beat = setInterval(() => this.onBeat(), options.beatMs)
+    this.beat = setInterval(() => this.checkLiveness(), options.heartbeatIntervalMs)
   }
 
-  static open (options: Options, certificate: X509Certificate | undefined): Inbound {
-    const it = new Inbound(options, certificate)
-    if (options.keys === undefined) it.admit()
+  static open (options: Options, certificate: X509Certificate | undefined): InboundLink {
+    const it = new InboundLink(options, certificate)
+    if (options.keys === undefined) it.accept()
     return it
   }
 
   send (body: Frame['body']): void {
-    if (this.isAdmitted) this.out.push(create(FrameSchema, { body }))
+    if (this.isAccepted) this.out.push(create(FrameSchema, { body }))
   }
 
   async read (batches: AsyncIterable<Batch>): Promise<void> {
     try {
       for await (const batch of batches) {
-        this.lastHeard = performance.now()
-        for (const frame of batch.frames) this.take(frame)
+        this.lastReceivedMs = performance.now()
+        for (const frame of batch.frames) this.handleFrame(frame)
       }
     } catch {
       // The stream broke: the peer is gone, which `close` deals with.
@@ -133,10 +133,10 @@
     this.transactions.clear()
   }
 
-  private admit (): void {
-    if (this.isAdmitted) return
-    this.isAdmitted = true
-    const { host, incarnation, greeting } = this.options
+  private accept (): void {
+    if (this.isAccepted) return
+    this.isAccepted = true
+    const { host, incarnation, initialFrames: greeting } = this.options
     this.send({ case: 'hello', value: { $typeName: 'agatepond.peer.v1.Hello', host, incarnation } })
     for (const body of greeting()) this.send(body)
   }
@@ -146,14 +146,14 @@
    * host. By TLS a peer is sent nothing and nothing of it is taken until its
    * hello says a name that its certificate was made for.
    */
-  private greeted (host: string): void {
+  private handleHello (host: string): void {
     const { keys, log } = this.options
-    if (keys !== undefined && (this.certificate === undefined || !isMadeFor(this.certificate, host))) {
+    if (keys !== undefined && (this.certificate === undefined || !isCertificateFor(this.certificate, host))) {
       log?.write('peerRefused', { peer: host, err: `its certificate is for ${this.certificate?.subject ?? 'nobody'}` })
       return this.refuse()
     }
     this.host = host as HostId
-    this.admit()
+    this.accept()
   }
 
   private refuse (): void {
@@ -162,8 +162,8 @@
   }
 
   /** A link can go silent for good without an error; the time since the last frame is the only sign. */
-  private onBeat (): void {
-    if (performance.now() - this.lastHeard > this.options.silentMs) return this.out.close()
+  private checkLiveness (): void {
+    if (performance.now() - this.lastReceivedMs > this.options.silenceTimeoutMs) return this.out.close()
     this.send({ case: 'beat', value: { $typeName: 'agatepond.peer.v1.Beat' } })
   }
 
@@ -171,11 +171,11 @@
    * Against a peer that was frozen: what it had queued still arrives after its
    * link was given up. A BEGIN that ran then would hold its connection for good.
    */
-  private take (frame: Frame): void {
+  private handleFrame (frame: Frame): void {
     if (this.isClosed) return
     const { body } = frame
-    if (body.case === 'hello') return this.greeted(body.value.host)
-    if (!this.isAdmitted) return this.refuse()
+    if (body.case === 'hello') return this.handleHello(body.value.host)
+    if (!this.isAccepted) return this.refuse()
     switch (body.case) {
       case 'configDigest':
       case 'configBody': return this.options.onConfig(this.host, body, reply => this.send(reply))
--- a/src/shell/peer/port.ts
+++ b/src/shell/peer/slotport.ts
@@ -6,14 +6,14 @@
 import type { Term } from '../../core/id/term.ts'
 import type { TransactionId } from '../../core/id/transaction.ts'
 
-interface Sink {
+interface ResultSink {
   head (columns: readonly Uint8Array[]): void
   rows (rows: readonly Uint8Array[]): void
   /** The last call, made exactly once. */
   done (done: Done): void
 }
 
-interface Running {
+interface RunningRequest {
   /** Lets the slot owner send so many more bytes of rows. */
   credit (bytes: number): void
   /** Gives the request up; `Sink.done` isn't called any more. */
@@ -21,7 +21,7 @@
 }
 
 export interface SlotPort {
-  run (run: Run, sink: Sink): Running
+  run (run: Run, sink: ResultSink): RunningRequest
   confirm (endpoint: EndpointId, term: Term, position: Position, ms: number): Promise<Confirmed>
   release (transaction: TransactionId): void
 }
--- a/src/shell/peer/tlskeys.ts
+++ b/src/shell/peer/tlskeys.ts
@@ -11,21 +11,21 @@
 }
 
 /** How often the files are looked at. */
-const LOOK_MS = 1000
+const CHECK_INTERVAL_MS = 1000
 
 /** Links that are opened use the newest keys; those that are open keep theirs. */
 export class TlsKeys {
   private readonly listeners = new Set<(context: SecureContextOptions) => void>()
 
-  private constructor (private readonly files: Files, private seen: string, private inUse: SecureContextOptions) {}
+  private constructor (private readonly files: Files, private signature: string, private currentContext: SecureContextOptions) {}
 
   /** Throws when a file can't be read, or when the key isn't the certificate's. */
   static read (files: Files): TlsKeys {
-    return new TlsKeys(files, marksOf(files), contextOf(files))
+    return new TlsKeys(files, signatureOf(files), contextOf(files))
   }
 
   get context (): SecureContextOptions {
-    return this.inUse
+    return this.currentContext
   }
 
   onChange (listener: (context: SecureContextOptions) => void): void {
@@ -34,7 +34,7 @@
 
   /** Looks at the files until the signal is aborted. */
   watch (log: Log, signal: AbortSignal): void {
-    const timer = setInterval(() => this.look(log), LOOK_MS)
+    const timer = setInterval(() => this.reloadIfChanged(log), CHECK_INTERVAL_MS)
     signal.addEventListener('abort', () => clearInterval(timer), { once: true })
   }
 
@@ -43,19 +43,19 @@
    * them finds a key that isn't the certificate's. The old ones stay in use,
    * and the next look that finds a change tries again.
    */
-  private look (log: Log): void {
+  private reloadIfChanged (log: Log): void {
     try {
-      const marks = marksOf(this.files)
-      if (marks === this.seen) return
-      this.seen = marks
-      this.inUse = contextOf(this.files)
-      for (const listener of this.listeners) listener(this.inUse)
+      const marks = signatureOf(this.files)
+      if (marks === this.signature) return
+      this.signature = marks
+      this.currentContext = contextOf(this.files)
+      for (const listener of this.listeners) listener(this.currentContext)
       log.write('keysReloaded')
     } catch (err) {
       const { message } = err as Error
-      if (this.seen !== message) log.write('keysUnreadable', { err: message })
+      if (this.signature !== message) log.write('keysUnreadable', { err: message })
       // A missing file has no marks; its message stands for them, so that it's logged once.
-      if ((err as NodeJS.ErrnoException).syscall !== undefined) this.seen = message
+      if ((err as NodeJS.ErrnoException).syscall !== undefined) this.signature = message
     }
   }
 }
@@ -71,7 +71,7 @@
   return context
 }
 
-function marksOf ({ key, certificate, authority }: Files): string {
+function signatureOf ({ key, certificate, authority }: Files): string {
   return [key, certificate, authority].map(file => {
     const { ino, mtimeMs, size } = statSync(file)
     return `${ino} ${mtimeMs} ${size}`
--- a/src/shell/peer/tlsname.ts
+++ b/src/shell/peer/tlsname.ts
@@ -7,7 +7,7 @@
  * wildcards don't count. A leading dot would match any name below it, and an
  * empty name says nothing.
  */
-export function isMadeFor (certificate: X509Certificate, host: string): boolean {
+export function isCertificateFor (certificate: X509Certificate, host: string): boolean {
   if (host === '' || host.startsWith('.')) return false
   return certificate.checkHost(host, { subject: 'default', wildcards: false }) !== undefined
 }
--- a/src/shell/peer/tlsserver.ts
+++ b/src/shell/peer/tlsserver.ts
@@ -17,7 +17,7 @@
 }
 
 /** Refused peers come back many times a second; each cause is logged this often. */
-const LOG_MS = 10_000
+const LOG_INTERVAL_MS = 10_000
 
 /** Makes the server; the caller lets it listen. */
 export class TlsServer {
@@ -28,11 +28,11 @@
     if (keys === undefined) return createServer(connectNodeAdapter({ routes }))
     const server = createSecureServer(
       { ...keys.context, requestCert: true, rejectUnauthorized: true },
-      connectNodeAdapter({ routes, contextValues: req => valuesOf('stream' in req ? req.stream.session : undefined) }))
+      connectNodeAdapter({ routes, contextValues: req => contextValuesOf('stream' in req ? req.stream.session : undefined) }))
     keys.onChange(context => server.setSecureContext(context))
     const loggedAt = new Map<string, number>()
     server.on('tlsClientError', ({ message }) => {
-      if (performance.now() - (loggedAt.get(message) ?? -Infinity) < LOG_MS) return
+      if (performance.now() - (loggedAt.get(message) ?? -Infinity) < LOG_INTERVAL_MS) return
       loggedAt.set(message, performance.now())
       log.write('peerRefused', { err: message })
     })
@@ -40,7 +40,7 @@
   }
 }
 
-function valuesOf (session: Http2Session | undefined): ContextValues {
+function contextValuesOf (session: Http2Session | undefined): ContextValues {
   const certificate = (session?.socket as TLSSocket | undefined)?.getPeerX509Certificate()
   return createContextValues().set(TlsServer.certificate, certificate)
 }
--- a/src/shell/peer/tlssession.ts
+++ b/src/shell/peer/tlssession.ts
@@ -3,7 +3,7 @@
 import { X509Certificate } from 'node:crypto'
 import { Http2SessionManager } from '@connectrpc/connect-node'
 import type { TlsKeys } from './tlskeys.ts'
-import { isMadeFor } from './tlsname.ts'
+import { isCertificateFor } from './tlsname.ts'
 
 interface Session {
   readonly baseUrl: string
@@ -14,7 +14,7 @@
  * Against a host that answers at another's address: its certificate must be
  * made for the peer that the host list names there, or nothing is sent to it.
  */
-export function sessionTo (address: string, peer: string, keys: TlsKeys | undefined): Session {
+export function createPeerSession (address: string, peer: string, keys: TlsKeys | undefined): Session {
   if (keys === undefined) {
     const baseUrl = `http://${address}`
     return { baseUrl, sessionManager: new Http2SessionManager(baseUrl) }
@@ -23,7 +23,7 @@
   const sessionManager = new Http2SessionManager(baseUrl, {}, {
     ...keys.context,
     checkServerIdentity: (_, { raw }) =>
-      isMadeFor(new X509Certificate(raw), peer) ? undefined : new Error(`the certificate at ${address} isn't made for ${peer}`)
+      isCertificateFor(new X509Certificate(raw), peer) ? undefined : new Error(`the certificate at ${address} isn't made for ${peer}`)
   })
   return { baseUrl, sessionManager }
 }
--- a/test/audittrail.test.ts
+++ b/test/audittrail.test.ts
@@ -2,7 +2,7 @@
 import { AuditRecord } from '../src/core/audit/record.ts'
 import type { Instant } from '../src/core/id/instant.ts'
 import { RequestTrail } from '../src/shell/audit/trail.ts'
-import { attempt } from '../src/shell/caller/attempts.ts'
+import { runRequest } from '../src/shell/caller/requestrun.ts'
 import type { CallerContext } from '../src/shell/caller/context.ts'
 import { Run_Access as RunAccess } from '../src/gen/peer_pb.ts'
 
@@ -30,8 +30,8 @@
       setTimeout(() => left.abort(), 5)
       return { kind: 'endpoint', endpoint: 'shop-1', access: RunAccess.WRITE, transaction: '' }
     }
-    const done = await attempt(context, { sql: 'X', kind: 'write', identity, hints: { fields: {} }, once: '', spec, isBinary: false, target } as unknown as Parameters<typeof attempt>[1],
-      { hasStarted: false } as unknown as Parameters<typeof attempt>[2], left.signal)
+    const done = await runRequest(context, { sql: 'X', kind: 'write', identity, hints: { fields: {} }, once: '', spec, isBinary: false, target } as unknown as Parameters<typeof runRequest>[1],
+      { hasStarted: false } as unknown as Parameters<typeof runRequest>[2], left.signal)
     expect(done.message).toContain(start.id)
     expect(kept.map(({ fields }) => fields.attempts.map(one => [one.endpoint, one.access, one.outcome, one.reason]))).toEqual([[['shop-1', 'write', 'unknown', 'lost']]])
   })
--- a/test/callersprotocol.test.ts
+++ b/test/callersprotocol.test.ts
@@ -12,7 +12,7 @@
 import type { Reply } from '../src/shell/mysql/reply.ts'
 import { MysqlServer } from '../src/shell/mysql/server.ts'
 import { PreparedStatement } from '../src/shell/mysql/statement.ts'
-import type { SlotPort } from '../src/shell/peer/port.ts'
+import type { SlotPort } from '../src/shell/peer/slotport.ts'
 import { freePorts } from '../standin/ports.ts'
 
 const SEED = 20261202
--- a/test/security.test.ts
+++ b/test/security.test.ts
@@ -7,7 +7,7 @@
 import { afterEach, beforeEach, describe, expect, it } from 'vitest'
 import { BatchSchema, Peer, type Batch } from '../src/gen/peer_pb.ts'
 import { TlsKeys } from '../src/shell/peer/tlskeys.ts'
-import { sessionTo } from '../src/shell/peer/tlssession.ts'
+import { createPeerSession } from '../src/shell/peer/tlssession.ts'
 import { Stage } from '../standin/stage.ts'
 
 let stage: Stage
@@ -50,7 +50,7 @@
   const files = { key: `test/keys/${authority}-${as}.key`, certificate: `test/keys/${authority}-${as}.pem`, authority: `test/keys/${trusted}.pem` }
   const keys = authority === 'clear' || authority === 'none' ? undefined : TlsKeys.read(files)
   const plain = { baseUrl: `https://127.0.0.1:${peers}`, nodeOptions: { rejectUnauthorized: false } }
-  const transport = createGrpcTransport(authority === 'none' ? plain : sessionTo(`127.0.0.1:${peers}`, 'host-1', keys))
+  const transport = createGrpcTransport(authority === 'none' ? plain : createPeerSession(`127.0.0.1:${peers}`, 'host-1', keys))
   const stop = new AbortController()
   let isOver = (): void => undefined
   const over = new Promise<void>(resolve => { isOver = resolve })
