--- a/src/shell/node/confirm.test.ts
+++ b/src/shell/node/confirmatowner.test.ts
@@ -7,7 +7,7 @@
 import type { Position } from '../../core/id/position.ts'
 import type { Term } from '../../core/id/term.ts'
 import type { SlotPort } from '../peer/slotport.ts'
-import { confirmWhereHeld } from './confirm.ts'
+import { confirmAtOwner } from './confirmatowner.ts'
 
 const question = { endpoint: 'e' as EndpointId, term: 1 as Term, position: 1 as Position, ms: 60_000 }
 
@@ -30,16 +30,16 @@
     let port: SlotPort | undefined
     const next = owner(true)
     port = owner(false, () => { port = next })
-    expect((await confirmWhereHeld(question, () => port)).ok).toBe(true)
+    expect((await confirmAtOwner(question, () => port)).ok).toBe(true)
   })
 
   it('waits while nobody holds the slot', async () => {
     const ports = [undefined, undefined, owner(true)]
-    expect((await confirmWhereHeld(question, () => ports.length > 1 ? ports.shift() : ports[0])).ok).toBe(true)
+    expect((await confirmAtOwner(question, () => ports.length > 1 ? ports.shift() : ports[0])).ok).toBe(true)
   })
 
   it('is refused at once by an owner that stays', async () => {
     const port = owner(false)
-    expect((await confirmWhereHeld(question, () => port)).ok).toBe(false)
+    expect((await confirmAtOwner(question, () => port)).ok).toBe(false)
   })
 })
--- a/src/shell/node/confirm.ts
+++ b/src/shell/node/confirmatowner.ts
@@ -7,7 +7,7 @@
 import type { Term } from '../../core/id/term.ts'
 import type { SlotPort } from '../peer/slotport.ts'
 
-interface Question {
+interface ConfirmRequest {
   readonly endpoint: EndpointId
   readonly term: Term
   readonly position: Position
@@ -15,13 +15,13 @@
 }
 
 /** How long to wait before looking for the slot's new owner. */
-const MOVED_MS = 20
+const OWNER_POLL_MS = 20
 
 /**
  * A slot that moves while it's asked answers "no" for itself and not for its
  * endpoint; taken at its word, it would make a good write's outcome unknown.
  */
-export async function confirmWhereHeld ({ endpoint, term, position, ms }: Question, port: () => SlotPort | undefined): Promise<Confirmed> {
+export async function confirmAtOwner ({ endpoint, term, position, ms }: ConfirmRequest, port: () => SlotPort | undefined): Promise<Confirmed> {
   const end = performance.now() + ms
   for (;;) {
     const asked = port()
@@ -30,6 +30,6 @@
     const answer = await asked?.confirm(endpoint, term, position, left)
     if (answer?.ok === true) return answer
     if (answer !== undefined && port() === asked) return answer
-    await new Promise(resolve => { setTimeout(resolve, MOVED_MS) })
+    await new Promise(resolve => { setTimeout(resolve, OWNER_POLL_MS) })
   }
 }
--- a/src/shell/node/gate.test.ts
+++ b/src/shell/node/drainablehandler.test.ts
@@ -4,7 +4,7 @@
 import type { Instant } from '../../core/id/instant.ts'
 import type { Handler } from '../mysql/handler.ts'
 import type { Reply } from '../mysql/reply.ts'
-import { Gate } from './gate.ts'
+import { DrainableHandler } from './drainablehandler.ts'
 
 // A leaving proxy closes an idle connection while a reel return is on the wire to it. The caller sees a lost connection
 // and books the return again elsewhere; had the first one run as well, the reel would be counted twice.
@@ -14,9 +14,9 @@
     let now = 0
     let isClosed = false
     const handler = { query: async (sql: string) => { ran.push(sql) } } as unknown as Handler
-    const gate = Gate.before({
+    const gate = DrainableHandler.before({
       handler,
-      pace: { transactionsMs: 10_000, callersMs: 5000, idleMs: 500, pauseMs: 20 },
+      timings: { transactionsMs: 10_000, callersMs: 5000, idleMs: 500, pauseMs: 20 },
       now: () => now as Instant,
       leavingSince: () => now > 0 ? 1 as Instant : undefined,
       hangUp: () => { isClosed = true },
--- a/src/shell/node/gate.ts
+++ b/src/shell/node/drainablehandler.ts
@@ -5,11 +5,11 @@
 import type { Handler } from '../mysql/handler.ts'
 import type { Reply } from '../mysql/reply.ts'
 
-type Pace = Parameters<typeof decideClosing>[1]
+type DrainTimings = Parameters<typeof decideClosing>[1]
 
 interface Options {
   readonly handler: Handler
-  readonly pace: Pace
+  readonly timings: DrainTimings
   readonly now: () => Instant
   /** When this process began to leave; undefined while it stays. */
   readonly leavingSince: () => Instant | undefined
@@ -20,7 +20,7 @@
 const ER_SERVER_SHUTDOWN = 1053
 const REFUSAL = 'not run: this proxy is leaving; connect again and send the request again'
 
-export class Gate implements Handler {
+export class DrainableHandler implements Handler {
   private isBusy = false
   private hasHungUp = false
   private answeredAt: Instant
@@ -30,8 +30,8 @@
     this.answeredAt = options.now()
   }
 
-  static before (options: Options): Gate {
-    return new Gate(options)
+  static before (options: Options): DrainableHandler {
+    return new DrainableHandler(options)
   }
 
   get isInTransaction (): boolean {
@@ -44,23 +44,23 @@
   }
 
   async query (sql: string, reply: Reply): Promise<void> {
-    await this.pass(reply, async () => await this.options.handler.query(sql, reply))
+    await this.handle(reply, async () => await this.options.handler.query(sql, reply))
   }
 
   async use (database: string, reply: Reply): Promise<void> {
-    await this.pass(reply, async () => await this.options.handler.use(database, reply))
+    await this.handle(reply, async () => await this.options.handler.use(database, reply))
   }
 
   async prepare (sql: string, reply: Reply): Promise<void> {
-    await this.pass(reply, async () => await this.options.handler.prepare(sql, reply))
+    await this.handle(reply, async () => await this.options.handler.prepare(sql, reply))
   }
 
   async execute (payload: Buffer, reply: Reply): Promise<void> {
-    await this.pass(reply, async () => await this.options.handler.execute(payload, reply))
+    await this.handle(reply, async () => await this.options.handler.execute(payload, reply))
   }
 
   async reset (reply: Reply): Promise<void> {
-    await this.pass(reply, async () => await this.options.handler.reset(reply))
+    await this.handle(reply, async () => await this.options.handler.reset(reply))
   }
 
   forget (statement: number): void {
@@ -78,10 +78,10 @@
     if (!this.isBusy && this.decide('idle') === 'close') this.hangUp()
   }
 
-  private async pass (reply: Reply, act: () => Promise<void>): Promise<void> {
+  private async handle (reply: Reply, act: () => Promise<void>): Promise<void> {
     // A request that crossed the closing on its way: it can't be answered any more, so it must not run.
     if (this.hasHungUp) return
-    this.noteGap()
+    this.recordGap()
     if (this.decide('asked') === 'refuse') {
       reply.error(ER_SERVER_SHUTDOWN, REFUSAL)
       return this.hangUp()
@@ -94,14 +94,14 @@
   }
 
   /** A caller's first requests often follow each other at once; the shortest gap is forgotten by halves. */
-  private noteGap (): void {
+  private recordGap (): void {
     if (this.isInTransaction) return
     const gap = this.options.now() - this.answeredAt
     this.shortestGapMs = Math.min(gap, this.shortestGapMs * 2)
   }
 
   private decide (kind: 'asked' | 'answered' | 'idle'): ReturnType<typeof decideClosing> {
-    const { now, leavingSince, pace } = this.options
+    const { now, leavingSince, timings: pace } = this.options
     const since = leavingSince()
     if (since === undefined) return 'go'
     return decideClosing({
--- a/src/shell/node/heldslot.ts
+++ b/src/shell/node/heldslot.ts
@@ -15,8 +15,8 @@
 type Running = ReturnType<SlotPort['run']>
 
 /** How long a slot that is handed over still takes new requests, while the others hear of it and go elsewhere. */
-const SWITCH_MS = 100
-const NOTHING_RUNS: Running = { credit: () => undefined, cancel: () => undefined }
+const HANDOVER_GRACE_MS = 100
+const NOOP_RUNNING: Running = { credit: () => undefined, cancel: () => undefined }
 
 /** Counts what runs, so that the slot is closed when nothing does. */
 export class HeldSlot implements SlotPort {
@@ -36,16 +36,16 @@
   }
 
   /** Whether a request that isn't part of an open transaction would be taken. */
-  get takesNew (): boolean {
+  get acceptsNew (): boolean {
     return this.phase !== 'closing'
   }
 
   run (req: Run, sink: Sink): Running {
-    if (!this.takesNew && !this.isOfOpenTransaction(req)) {
+    if (!this.acceptsNew && !this.isOfOpenTransaction(req)) {
       sink.done(refusal(req.id, 'noSlotOwner', 'the slot is being handed over'))
-      return NOTHING_RUNS
+      return NOOP_RUNNING
     }
-    const settle = this.began()
+    const settle = this.trackRequest()
     const running = this.owner.run(req, {
       head: columns => sink.head(columns),
       rows: rows => sink.rows(rows),
@@ -64,7 +64,7 @@
   }
 
   async confirm (_endpoint: EndpointId, term: Term, position: Position, ms: number): Promise<Confirmed> {
-    const settle = this.began()
+    const settle = this.trackRequest()
     return await this.owner.confirm(term, position, ms).finally(settle)
   }
 
@@ -73,12 +73,12 @@
     this.wake?.()
   }
 
-  learn (sample: Sample): void {
+  applySample (sample: Sample): void {
     this.owner.applySample(sample)
   }
 
   /** Says whether the endpoint is to be left. */
-  leaveEndpoint (isLeaving: boolean): void {
+  setEndpointLeaving (isLeaving: boolean): void {
     this.owner.setLeaving(isLeaving)
   }
 
@@ -86,7 +86,7 @@
   async handOver (): Promise<void> {
     if (this.phase !== 'open') return
     this.phase = 'handingOver'
-    await new Promise(resolve => { setTimeout(resolve, SWITCH_MS) })
+    await new Promise(resolve => { setTimeout(resolve, HANDOVER_GRACE_MS) })
     this.phase = 'closing'
     while (this.inProgress > 0 || this.owner.openTransactions > 0) {
       await new Promise<void>(resolve => { this.wake = resolve })
@@ -105,7 +105,7 @@
   }
 
   /** Yields the call that ends what began; calls after the first do nothing. */
-  private began (): () => void {
+  private trackRequest (): () => void {
     let isOver = false
     this.inProgress++
     return () => {
--- a/src/shell/node/node.ts
+++ b/src/shell/node/node.ts
@@ -32,15 +32,15 @@
 import type { HostList } from '../platform/hostlist.ts'
 import { HttpHostList } from '../platform/httphostlist.ts'
 import { S3Store } from '../platform/s3store.ts'
-import { Callers } from './callers.ts'
-import { FirstHeard } from './firstheard.ts'
+import { CallerConnections } from './callerconnections.ts'
+import { KnownPrimaries } from './knownprimaries.ts'
 import { servePages } from './pages.ts'
 import { seededChance } from './seededchance.ts'
 import { Slots } from './slots.ts'
 
 type Settings = ReturnType<ReturnType<typeof parseSettings>['_unsafeUnwrap']>
 
-const POLL_MS = 500
+const HOST_LIST_POLL_MS = 500
 const ER_SERVER_SHUTDOWN = 1053
 
 /** The process. `start` resolves when it listens. */
@@ -48,16 +48,16 @@
   private configs: ConfigFollower | undefined
   private peers: PeerServer | undefined
   private mysql: MysqlServer | undefined
-  private hasHosts = false
+  private hasHostList = false
   private isLeaving = false
   /** Whether no new callers are taken. */
-  private isClosed = false
+  private refusesCallers = false
 
   private constructor (
     private readonly settings: Settings,
-    private readonly firstHeard: FirstHeard,
+    private readonly knownPrimaries: KnownPrimaries,
     private readonly slots: Slots,
-    private readonly callers: Callers,
+    private readonly callers: CallerConnections,
     private readonly log: Log,
     private readonly metrics: Metrics,
     readonly audit: Audit
@@ -89,23 +89,23 @@
       chance,
       broadcast: body => it.peers?.broadcast(body),
       onLinked: peer => it.configs?.onLinked(peer),
-      onConfig: (from, body) => it.configs?.receive(from, body, reply => slots.peers.tell(from, reply))
+      onConfig: (from, body) => it.configs?.receive(from, body, reply => slots.peers.send(from, reply))
     }, signal)
     const { transactions, callers: busy, idle, pause: gap } = settings.drain
-    const callers = Callers.create({
-      pace: { transactionsMs: transactions, callersMs: busy, idleMs: idle, pauseMs: gap },
+    const callers = CallerConnections.create({
+      timings: { transactionsMs: transactions, callersMs: busy, idleMs: idle, pauseMs: gap },
       now,
       onCount: open => metrics.callers.set(open)
     })
     const audit = openAudit({ settings, incarnation, log, metrics, now, configVersion: () => it.configs?.config?.version })
-    const it: Node = new Node(settings, FirstHeard.of(groups), slots, callers, log, metrics, audit)
+    const it: Node = new Node(settings, KnownPrimaries.of(groups), slots, callers, log, metrics, audit)
     it.peers = await PeerServer.listen({
-      ...addressOf(settings.listen.peers),
+      ...parseAddress(settings.listen.peers),
       host: host.id as HostId,
       incarnation,
       heartbeatIntervalMs: settings.peers.beat,
       silenceTimeoutMs: settings.peers.silent,
-      slots: it.ownSlots(),
+      slots: it.ownSlotPort(),
       keys,
       log,
       initialFrames: (): Frame['body'][] => [{ case: 'held', value: slots.heldFrame() }],
@@ -118,7 +118,7 @@
       log,
       now,
       chance,
-      send: (peer, body) => slots.peers.tell(peer, body),
+      send: (peer, body) => slots.peers.send(peer, body),
       onApply: config => it.apply(config)
     }, signal)
     const context: CallerContext = {
@@ -136,18 +136,18 @@
       audit: it.audit
     }
     const reads = SessionReadRouter.create(context)
-    const { ip, port } = addressOf(settings.listen.callers)
+    const { ip, port } = parseAddress(settings.listen.callers)
     it.mysql = await MysqlServer.listen({
       host: ip,
       port,
       tracksSession: false,
       accept: async login => {
-        if (it.isClosed) return { code: ER_SERVER_SHUTDOWN, message: 'this proxy is leaving; connect to another' }
+        if (it.refusesCallers) return { code: ER_SERVER_SHUTDOWN, message: 'this proxy is leaving; connect to another' }
         const handler = await acceptCaller(context, reads, login)
-        return 'code' in handler ? handler : await it.guard(handler, login)
+        return 'code' in handler ? handler : await it.wrapHandler(handler, login)
       }
     }, signal)
-    await servePages({ ...addressOf(settings.listen.metrics), metrics, problem: () => it.problem }, signal)
+    await servePages({ ...parseAddress(settings.listen.metrics), metrics, problem: () => it.problem }, signal)
     it.pollHosts(hostList, signal)
     log.write('started', { callers: settings.listen.callers, peers: settings.listen.peers })
     return it
@@ -162,12 +162,12 @@
     this.isLeaving = true
     this.log.write('leaving', {})
     this.slots.leave()
-    const gone = this.callers.leave()
+    const gone = this.callers.drain()
     await pause(this.settings.drain.announce)
-    this.isClosed = true
+    this.refusesCallers = true
     this.mysql?.close()
     await gone
-    await this.callers.leave()
+    await this.callers.drain()
     await this.slots.left()
     this.log.write('stopped')
   }
@@ -177,17 +177,17 @@
    * to their slot owners may be opened only now, so the sign-in waits for
    * them; else the first request would be refused for want of a known primary.
    */
-  private async guard (handler: Handler, login: Login): Promise<Handler> {
+  private async wrapHandler (handler: Handler, login: Login): Promise<Handler> {
     const closed = new AbortController()
     const pools = this.configs?.config?.pools.filter(pool => pool.callers.some(caller => caller.id === login.user)) ?? []
     const ids = pools.flatMap(pool => pool.groups)
     this.slots.useGroups(ids, closed.signal)
-    await this.firstHeard.wait(ids, this.settings.requests.deadline)
-    return this.callers.guard(handler, () => login.hangUp(), () => closed.abort())
+    await this.knownPrimaries.wait(ids, this.settings.requests.deadline)
+    return this.callers.wrap(handler, () => login.hangUp(), () => closed.abort())
   }
 
   /** What this process's peers may ask of it: its own slots only, never a further hop. */
-  private ownSlots (): SlotPort {
+  private ownSlotPort (): SlotPort {
     return {
       run: (req, sink) => {
         const slot = this.slots.own(req.endpoint as EndpointId)
@@ -205,13 +205,13 @@
     while (!signal.aborted) {
       await list.hosts().then(
         hosts => {
-          this.hasHosts = true
+          this.hasHostList = true
           this.slots.useHosts(hosts)
           this.configs?.setHosts(hosts)
           this.slots.keepLinks(this.configs?.partners ?? [])
         },
         (err: Error) => this.log.write('hostListFailed', { err: err.message }))
-      await pause(POLL_MS)
+      await pause(HOST_LIST_POLL_MS)
     }
   }
 
@@ -224,7 +224,7 @@
   private get problem (): string | undefined {
     if (this.isLeaving) return 'leaving'
     if (this.configs === undefined) return 'starting'
-    return this.configs.problem ?? (this.hasHosts ? undefined : 'no host list yet: it does not answer')
+    return this.configs.problem ?? (this.hasHostList ? undefined : 'no host list yet: it does not answer')
   }
 
   private status (host: string, incarnation: string): MessageInitShape<typeof StatusReplySchema> {
@@ -240,7 +240,7 @@
   }
 }
 
-function addressOf (text: string): { readonly ip: string, readonly port: number } {
+function parseAddress (text: string): { readonly ip: string, readonly port: number } {
   const [ip, port] = text.split(':')
   return { ip: ip!, port: Number(port) }
 }
--- a/src/shell/node/peers.ts
+++ b/src/shell/node/peers.ts
@@ -28,7 +28,7 @@
   readonly onChange: () => void
 }
 
-interface Linked {
+interface LinkEntry {
   readonly address: string
   readonly link: PeerLink
   readonly stop: AbortController
@@ -36,11 +36,11 @@
   wantedAt: Instant
 }
 
-const LINGER_MS = 60_000
+const UNUSED_LINK_TIMEOUT_MS = 60_000
 
 /** Feeds `Members` with what the list and the links say. */
 export class Peers {
-  private readonly links = new Map<HostId, Linked>()
+  private readonly links = new Map<HostId, LinkEntry>()
   private readonly known: Members
 
   private constructor (private readonly options: Options) {
@@ -57,7 +57,7 @@
   }
 
   useHosts (hosts: readonly Host[]): void {
-    this.hear({ kind: 'listed', hosts })
+    this.apply({ kind: 'listed', hosts })
     for (const host of hosts) {
       const linked = this.links.get(host.id)
       if (linked !== undefined && linked.address !== host.peers) this.unlink(host.id)
@@ -65,15 +65,15 @@
   }
 
   leave (): void {
-    this.hear({ kind: 'leaving' })
+    this.apply({ kind: 'leaving' })
   }
 
   /** Links to these hosts. A link that isn't wanted any more is closed after a while, so that what runs on it ends first. */
-  use (wanted: ReadonlySet<HostId>): void {
+  setRequiredHosts (wanted: ReadonlySet<HostId>): void {
     const now = this.options.now()
     for (const [id, linked] of [...this.links]) {
       if (wanted.has(id)) linked.wantedAt = now
-      else if (now - linked.wantedAt >= LINGER_MS) this.unlink(id)
+      else if (now - linked.wantedAt >= UNUSED_LINK_TIMEOUT_MS) this.unlink(id)
     }
     for (const host of this.known.hosts) {
       if (wanted.has(host.id) && !this.links.has(host.id)) this.link(host)
@@ -81,7 +81,7 @@
   }
 
   /** Sends a frame to a host if it's linked. */
-  tell (host: HostId, body: Frame['body']): void {
+  send (host: HostId, body: Frame['body']): void {
     this.links.get(host)?.link.sendIfLinked(body)
   }
 
@@ -91,7 +91,7 @@
   }
 
   /** The links to live hosts that say they hold a slot of the endpoint; then those to leaving ones, which still finish work. */
-  ports (endpoint: EndpointId): readonly PeerLink[] {
+  linksTo (endpoint: EndpointId): readonly PeerLink[] {
     const now = this.options.now()
     const holders = this.known.holders(endpoint, now)
     const [leaving, staying] = [
@@ -107,7 +107,7 @@
     const { settings, keys, incarnation, log } = this.options
     if (host.id === settings.host.id) return
     const stop = new AbortController()
-    this.hear({ kind: 'watched', host: host.id })
+    this.apply({ kind: 'watched', host: host.id })
     const link = PeerLink.open({
       address: host.peers,
       self: settings.host.id as HostId,
@@ -122,14 +122,14 @@
       onWrote: this.options.onWrote,
       onLinked: () => this.options.onLinked(host.id),
       onConfig: body => this.options.onConfig(host.id, body),
-      onActivity: heard => this.hear({ kind: 'heard', host: host.id, incarnation: heard }),
+      onActivity: heard => this.apply({ kind: 'heard', host: host.id, incarnation: heard }),
       onHeld: ({ endpoints, leaving }) => {
-        this.hear({ kind: 'held', host: host.id, endpoints: endpoints as EndpointId[], isLeaving: leaving })
+        this.apply({ kind: 'held', host: host.id, endpoints: endpoints as EndpointId[], isLeaving: leaving })
         this.options.onChange()
       },
       onLost: () => {
         if (stop.signal.aborted) return
-        this.hear({ kind: 'lost', host: host.id })
+        this.apply({ kind: 'lost', host: host.id })
         this.options.onChange()
       }
     }, stop.signal)
@@ -139,10 +139,10 @@
   private unlink (id: HostId): void {
     this.links.get(id)?.stop.abort()
     this.links.delete(id)
-    this.hear({ kind: 'unwatched', host: id })
+    this.apply({ kind: 'unwatched', host: id })
   }
 
-  private hear (event: MembershipEvent): void {
+  private apply (event: MembershipEvent): void {
     this.known.apply(event, this.options.now())
   }
 }
--- a/src/shell/node/claims.ts
+++ b/src/shell/node/slotclaims.ts
@@ -16,7 +16,7 @@
   readonly now: () => Instant
   readonly chance: () => number
   /** Whether the claim's process, by all that is heard, is gone. */
-  readonly standing: (claim: Claim) => 'held' | 'gone' | 'unknown'
+  readonly claimStatus: (claim: Claim) => 'held' | 'gone' | 'unknown'
   /** The slot is this process's: claimed, or the store doesn't answer. */
   readonly onTake: (endpoint: EndpointId) => void
 }
@@ -24,25 +24,25 @@
 type Event = Parameters<SlotClaimer['step']>[0]
 
 /** How long a slot waits for a store that doesn't answer: with the 3 s of silence before, a dead host's slot is served again within 5 s. */
-const UNCLAIMED_MS = 1000
+const CLAIM_TIMEOUT_MS = 1000
 /** Longer than the host list lags. */
-const UNKNOWN_MS = 30_000
+const UNKNOWN_HOLDER_MS = 30_000
 const TICK_MS = 50
-const RELEASE_MS = 500
-const RELEASE_PACE = { firstMs: 100, mostMs: 10_000 }
+const RELEASE_TIMEOUT_MS = 500
+const RELEASE_BACKOFF = { firstMs: 100, mostMs: 10_000 }
 
-export class Claims {
-  private readonly claimings = new Map<EndpointId, SlotClaimer>()
+export class SlotClaims {
+  private readonly claimers = new Map<EndpointId, SlotClaimer>()
   /** Tells the claiming of an endpoint from an earlier one. */
   private readonly attempts = new Map<EndpointId, symbol>()
   private readonly releasing = new Set<EndpointId>()
 
   private constructor (private readonly options: Options) {}
 
-  static create (options: Options, signal: AbortSignal): Claims {
-    const it = new Claims(options)
+  static create (options: Options, signal: AbortSignal): SlotClaims {
+    const it = new SlotClaims(options)
     const ticker = setInterval(() => {
-      for (const endpoint of it.claimings.keys()) it.hear(endpoint, { kind: 'tick' })
+      for (const endpoint of it.claimers.keys()) it.apply(endpoint, { kind: 'tick' })
     }, TICK_MS)
     signal.addEventListener('abort', () => clearInterval(ticker), { once: true })
     return it
@@ -50,72 +50,72 @@
 
   /** Endpoints whose claim waits for the store, and how often it was tried. */
   get waiting (): ReadonlyArray<{ readonly endpoint: EndpointId, readonly tries: number }> {
-    return [...this.claimings]
+    return [...this.claimers]
       .filter(([, claiming]) => !claiming.isClaimed && claiming.misses > 0)
       .map(([endpoint, claiming]) => ({ endpoint, tries: claiming.misses }))
   }
 
   /** Begins to claim a slot of the endpoint; does nothing while it's claimed or being claimed. */
-  want (endpoint: EndpointId, slots: number): void {
-    if (this.claimings.has(endpoint)) return
-    const { host, incarnation, now, standing } = this.options
+  claim (endpoint: EndpointId, slots: number): void {
+    if (this.claimers.has(endpoint)) return
+    const { host, incarnation, now, claimStatus: standing } = this.options
     const claiming = SlotClaimer.begin({
-      host, incarnation, slots, claimStatus: standing, claimTimeoutMs: UNCLAIMED_MS, unknownHolderMs: UNKNOWN_MS
+      host, incarnation, slots, claimStatus: standing, claimTimeoutMs: CLAIM_TIMEOUT_MS, unknownHolderMs: UNKNOWN_HOLDER_MS
     }, now())
-    this.claimings.set(endpoint, claiming)
+    this.claimers.set(endpoint, claiming)
     this.attempts.set(endpoint, Symbol(endpoint))
-    this.hear(endpoint, { kind: 'tick' })
+    this.apply(endpoint, { kind: 'tick' })
   }
 
   /** Endpoints that are wanted and not taken yet. */
   get pending (): readonly EndpointId[] {
-    return [...this.claimings].filter(([, claiming]) => !claiming.hasTaken).map(([endpoint]) => endpoint)
+    return [...this.claimers].filter(([, claiming]) => !claiming.hasTaken).map(([endpoint]) => endpoint)
   }
 
   /** The slot falls to somebody else before it was taken: whatever was claimed is given back. */
-  unwant (endpoint: EndpointId): void {
-    if (this.claimings.get(endpoint)?.hasTaken === false) this.release(endpoint)
+  cancel (endpoint: EndpointId): void {
+    if (this.claimers.get(endpoint)?.hasTaken === false) this.release(endpoint)
   }
 
   /** Gives the claim back, trying until the store answers: a live host's claim is respected by all others. */
   release (endpoint: EndpointId): void {
-    if (!this.claimings.delete(endpoint)) return
+    if (!this.claimers.delete(endpoint)) return
     this.attempts.delete(endpoint)
     this.releasing.add(endpoint)
-    this.keepGivingBack(endpoint).finally(() => this.releasing.delete(endpoint))
+    this.releaseWithRetries(endpoint).finally(() => this.releasing.delete(endpoint))
   }
 
   /** Resolves when what is being given back has been, or soon: later this process's being gone frees it. */
-  async released (): Promise<void> {
-    const end = this.options.now() + RELEASE_MS
+  async waitForReleases (): Promise<void> {
+    const end = this.options.now() + RELEASE_TIMEOUT_MS
     while (this.releasing.size > 0 && this.options.now() < end) {
       await new Promise(resolve => { setTimeout(resolve, TICK_MS) })
     }
   }
 
-  private async keepGivingBack (endpoint: EndpointId): Promise<void> {
+  private async releaseWithRetries (endpoint: EndpointId): Promise<void> {
     const { chance } = this.options
-    for (let misses = 0; !this.claimings.has(endpoint); misses++) {
-      if (await this.giveBack(endpoint).then(() => true, () => false)) return
-      await new Promise(resolve => { setTimeout(resolve, backoff(misses, RELEASE_PACE, chance())).unref() })
+    for (let misses = 0; !this.claimers.has(endpoint); misses++) {
+      if (await this.clearClaims(endpoint).then(() => true, () => false)) return
+      await new Promise(resolve => { setTimeout(resolve, backoff(misses, RELEASE_BACKOFF, chance())).unref() })
     }
   }
 
-  private async giveBack (endpoint: EndpointId): Promise<void> {
+  private async clearClaims (endpoint: EndpointId): Promise<void> {
     const { host, incarnation, table } = this.options
     const own = (await this.read(endpoint)).filter(claim => claim.host === host && claim.incarnation === incarnation)
     for (const claim of own) {
       // The slot may have fallen to this process again meanwhile: the claim is in use then.
-      if (this.claimings.has(endpoint)) return
+      if (this.claimers.has(endpoint)) return
       await table.replace(rowOf(endpoint, { ...claim, revision: claim.revision + 1, host: '' }), claim.revision)
     }
   }
 
-  private hear (endpoint: EndpointId, event: Event): void {
-    const claiming = this.claimings.get(endpoint)
+  private apply (endpoint: EndpointId, event: Event): void {
+    const claiming = this.claimers.get(endpoint)
     if (claiming === undefined) return
     const step = claiming.step(event, this.options.now(), this.options.chance())
-    this.claimings.set(endpoint, step.claimer)
+    this.claimers.set(endpoint, step.claimer)
     for (const action of step.actions) {
       switch (action.kind) {
         case 'take':
@@ -134,12 +134,12 @@
     const attempt = this.attempts.get(endpoint)
     answer.catch((): Event => ({ kind: 'failed' })).then(event => {
       // The claim may have been given up, and begun anew, while the store answered: the answer isn't the new one's.
-      if (this.attempts.get(endpoint) === attempt) this.hear(endpoint, event)
+      if (this.attempts.get(endpoint) === attempt) this.apply(endpoint, event)
     })
   }
 
   private async read (endpoint: EndpointId): Promise<readonly Claim[]> {
-    return (await this.options.table.list(partition(endpoint), '', MOST_SLOTS)).map(claimOf)
+    return (await this.options.table.list(partition(endpoint), '', MAX_SLOTS)).map(claimOf)
   }
 
   private async write (endpoint: EndpointId, claim: Claim): Promise<boolean> {
@@ -150,7 +150,7 @@
   }
 }
 
-const MOST_SLOTS = 16
+const MAX_SLOTS = 16
 
 function partition (endpoint: EndpointId): string {
   return `slot/${endpoint}`
--- a/src/shell/node/slots.ts
+++ b/src/shell/node/slots.ts
@@ -18,34 +18,34 @@
 import { sampleFrame } from '../peer/sampleframe.ts'
 import type { SlotPort } from '../peer/slotport.ts'
 import { addGroups } from './addgroups.ts'
-import { Claims } from './claims.ts'
-import { confirmWhereHeld } from './confirm.ts'
+import { SlotClaims } from './slotclaims.ts'
+import { confirmAtOwner } from './confirmatowner.ts'
 import type { HeldSlot } from './heldslot.ts'
 import { Peers } from './peers.ts'
-import { recordPromotion } from './record.ts'
+import { recordPromotion } from './recordpromotion.ts'
 import type { SlotsOptions } from './slotsoptions.ts'
-import { takeSlot } from './take.ts'
+import { takeSlot } from './takeslot.ts'
 import { UsedGroups } from './usedgroups.ts'
 
 /** How often silence is looked for; a change that is heard is acted on at once. */
 const TICK_MS = 200
 /** How often the links are compared with what is used. */
-const LINK_MS = 1000
+const LINK_INTERVAL_MS = 1000
 
 /** Follows the host list, the links and the configuration: holds the slots that fall to this host. */
 export class Slots {
   private readonly held = new Map<EndpointId, HeldSlot>()
   private readonly usedGroups = UsedGroups.create()
   readonly peers: Peers
-  private readonly claims: Claims
-  private duties: SlotAssignments
+  private readonly claims: SlotClaims
+  private assignments: SlotAssignments
   private config: Config | undefined
   private kept: readonly HostId[] = []
   private wake: (() => void) | undefined
 
   private constructor (private readonly options: SlotsOptions, signal: AbortSignal) {
     const { settings, incarnation, log, now, table, chance } = options
-    this.duties = SlotAssignments.of(settings.host.id as HostId)
+    this.assignments = SlotAssignments.of(settings.host.id as HostId)
     this.peers = Peers.create({
       settings,
       keys: options.keys,
@@ -53,25 +53,25 @@
       log,
       now,
       onChange: () => this.place(),
-      onSample: frame => this.learn(sampleFrame.decode(frame, now())),
+      onSample: frame => this.applySample(sampleFrame.decode(frame, now())),
       onWrote: frame => this.note(frame),
       onLinked: options.onLinked,
       onConfig: options.onConfig
     })
-    this.claims = Claims.create({
+    this.claims = SlotClaims.create({
       host: settings.host.id as HostId,
       incarnation,
       table,
       now,
       chance,
-      standing: claim => this.peers.members.claimStatus(claim.host as HostId, claim.incarnation, now()),
+      claimStatus: claim => this.peers.members.claimStatus(claim.host as HostId, claim.incarnation, now()),
       onTake: endpoint => this.take(endpoint)
     }, signal)
   }
 
   static create (options: SlotsOptions, signal: AbortSignal): Slots {
     const it = new Slots(options, signal)
-    const tickers = [setInterval(() => it.place(), TICK_MS), setInterval(() => it.linkPeers(), LINK_MS)]
+    const tickers = [setInterval(() => it.place(), TICK_MS), setInterval(() => it.updateLinks(), LINK_INTERVAL_MS)]
     signal.addEventListener('abort', () => {
       for (const ticker of tickers) clearInterval(ticker)
       it.peers.close()
@@ -88,22 +88,22 @@
   useConfig (config: Config): void {
     this.config = config
     addGroups(config, this.options.groups)
-    this.duties = this.duties.withConfig(config)
-    this.linkPeers()
+    this.assignments = this.assignments.withConfig(config)
+    this.updateLinks()
     this.place()
   }
 
   /** Links to the owners of these groups' slots until the signal is aborted: a caller of this process uses them. */
   useGroups (ids: readonly GroupId[], signal: AbortSignal): void {
-    if (this.usedGroups.add(ids, signal)) this.linkPeers()
+    if (this.usedGroups.add(ids, signal)) this.updateLinks()
   }
 
   /** Own before others, so that a request makes no hop; a slot that is being handed over only when there is no other. */
   port (endpoint: EndpointId): SlotPort | undefined {
     const own = this.held.get(endpoint)
     if (own?.isOpen === true && !this.peers.members.isLeaving) return own
-    const [peer] = this.peers.ports(endpoint)
-    return peer ?? (own?.takesNew === true ? own : undefined)
+    const [peer] = this.peers.linksTo(endpoint)
+    return peer ?? (own?.acceptsNew === true ? own : undefined)
   }
 
   /** This process's own slot, whoever else holds one. */
@@ -119,7 +119,7 @@
   /** Keeps links to these hosts too, whatever the slots need. */
   keepLinks (hosts: readonly HostId[]): void {
     this.kept = hosts
-    this.linkPeers()
+    this.updateLinks()
   }
 
   /** What waits for the store to answer. */
@@ -135,7 +135,7 @@
   /** Announces that this process leaves. Slots that another host can take are handed over from now on. */
   leave (): void {
     this.peers.leave()
-    this.tellHeld()
+    this.broadcastHeld()
     this.place()
   }
 
@@ -143,12 +143,12 @@
   async left (): Promise<void> {
     for (const [endpoint, slot] of this.held) this.handOver(endpoint, slot)
     while (this.held.size > 0) await new Promise<void>(resolve => { this.wake = resolve })
-    await this.claims.released()
+    await this.claims.waitForReleases()
   }
 
-  private learn (sample: Sample): void {
+  private applySample (sample: Sample): void {
     this.options.groups.updateSample(sample)
-    for (const slot of this.held.values()) slot.learn(sample)
+    for (const slot of this.held.values()) slot.applySample(sample)
   }
 
   /** Takes in who made a write, from an owner here or elsewhere. */
@@ -158,34 +158,34 @@
 
   private place (): void {
     const { members } = this.peers
-    const duties = this.duties.withHosts(members.candidates(this.options.now()), members.hosts)
-    const hasChanged = duties !== this.duties
-    this.duties = duties
-    if (hasChanged) this.linkPeers()
-    for (const endpoint of new Set([...duties.endpoints, ...this.held.keys(), ...this.claims.pending])) this.placeOne(endpoint)
+    const duties = this.assignments.withHosts(members.candidates(this.options.now()), members.hosts)
+    const hasChanged = duties !== this.assignments
+    this.assignments = duties
+    if (hasChanged) this.updateLinks()
+    for (const endpoint of new Set([...duties.endpoints, ...this.held.keys(), ...this.claims.pending])) this.placeSlot(endpoint)
   }
 
-  private placeOne (endpoint: EndpointId): void {
+  private placeSlot (endpoint: EndpointId): void {
     const slot = this.held.get(endpoint)
-    const standing = slotStateOf(endpoint, this.duties, this.peers.members, slot !== undefined, this.options.now())
+    const standing = slotStateOf(endpoint, this.assignments, this.peers.members, slot !== undefined, this.options.now())
     if (standing === undefined) return
     const tenure = decideOwnership(standing)
-    if (tenure === 'take') this.claims.want(endpoint, standing.slots)
-    else if (slot === undefined) this.claims.unwant(endpoint)
+    if (tenure === 'take') this.claims.claim(endpoint, standing.slots)
+    else if (slot === undefined) this.claims.cancel(endpoint)
     if (tenure === 'handOver') this.handOver(endpoint, slot!)
-    slot?.leaveEndpoint(this.duties.isLeaving(endpoint))
+    slot?.setEndpointLeaving(this.assignments.isLeaving(endpoint))
   }
 
-  private linkPeers (): void {
+  private updateLinks (): void {
     const now = this.options.now()
     const wanted = requiredPeers({
-      duties: this.duties,
+      duties: this.assignments,
       held: [...this.held.keys()],
       groups: this.config?.groups.filter(group => this.usedGroups.has(group.id)) ?? [],
       holders: endpoint => this.peers.members.holders(endpoint, now)
     })
     for (const host of this.kept) wanted.add(host)
-    this.peers.use(wanted)
+    this.peers.setRequiredHosts(wanted)
   }
 
   private handOver (endpoint: EndpointId, slot: HeldSlot): void {
@@ -194,20 +194,20 @@
       this.held.delete(endpoint)
       this.claims.release(endpoint)
       this.options.log.write('slotLeft', { endpoint })
-      this.tellHeld()
+      this.broadcastHeld()
       this.wake?.()
     })
   }
 
-  private tellHeld (): void {
+  private broadcastHeld (): void {
     this.options.metrics.slots.set(this.held.size)
     this.options.broadcast({ case: 'held', value: this.heldFrame() })
   }
 
   private take (endpoint: EndpointId): void {
-    const group = this.duties.group(endpoint)
+    const group = this.assignments.group(endpoint)
     if (group === undefined) return
-    const rank = this.duties.rank(endpoint) ?? 0
+    const rank = this.assignments.rank(endpoint) ?? 0
     const { settings, incarnation, groups, now, chance, log } = this.options
     const slot = takeSlot(group, endpoint, settings, {
       group: groups.get(group.id)!,
@@ -216,9 +216,9 @@
       now,
       chance,
       log,
-      confirmAt: async (at, term, position, ms) => await confirmWhereHeld({ endpoint: at, term, position, ms }, () => this.port(at)),
+      confirmAt: async (at, term, position, ms) => await confirmAtOwner({ endpoint: at, term, position, ms }, () => this.port(at)),
       onSample: sample => {
-        this.learn(sample)
+        this.applySample(sample)
         this.options.broadcast({ case: 'sample', value: sampleFrame.encode(sample) })
       },
       onWrote: (term, position, session) => {
@@ -230,6 +230,6 @@
     })
     this.held.set(endpoint, slot)
     log.write('slotTaken', { endpoint, rank })
-    this.tellHeld()
+    this.broadcastHeld()
   }
 }
--- a/src/shell/node/take.ts
+++ b/src/shell/node/takeslot.ts
@@ -8,10 +8,10 @@
 
 type Settings = ReturnType<ReturnType<typeof parseSettings>['_unsafeUnwrap']>
 type DatabaseGroup = Config['groups'][number]
-type Rest = Omit<Parameters<typeof SlotOwner.start>[0], 'addresses' | 'connections' | 'pace' | 'probeMs' | 'probeTimeoutMs' | 'endpoint'>
+type RemainingOptions = Omit<Parameters<typeof SlotOwner.start>[0], 'addresses' | 'connections' | 'pace' | 'probeMs' | 'probeTimeoutMs' | 'endpoint'>
 
 /** The slot is this process's until it's handed over or closed. */
-export function takeSlot (group: DatabaseGroup, endpoint: EndpointId, settings: Settings, rest: Rest): HeldSlot {
+export function takeSlot (group: DatabaseGroup, endpoint: EndpointId, settings: Settings, rest: RemainingOptions): HeldSlot {
   const { failover } = settings
   const stop = new AbortController()
   const owner = SlotOwner.start({
