--- a/scenarios/world/wire.ts
+++ b/scenarios/world/wire.ts
@@ -41,7 +41,7 @@
       },
       (err: Error) => {
         if (err instanceof SqlError) sink.error(err.code, err.message)
-        else sink.lost(err)
+        else sink.connectionLost(err)
       })
   }
 
@@ -55,7 +55,7 @@
         ok: () => resolve(rows),
         end: () => resolve(rows),
         error: (code, message) => reject(Object.assign(new Error(message), { code })),
-        lost: reject
+        connectionLost: reject
       })
     })
   }
--- a/src/cli/auditreader.ts
+++ b/src/cli/auditreader.ts
@@ -3,9 +3,9 @@
 import { AuditReader } from '../shell/audit/reader.ts'
 import type { ObjectStore } from '../shell/platform/objectstore.ts'
 import { S3Store } from '../shell/platform/s3store.ts'
-import type { settingsOf } from './settingsof.ts'
+import type { requiredSettings } from './requiredsettings.ts'
 
-export function openAuditReader ({ platform }: ReturnType<typeof settingsOf>): { readonly store: ObjectStore, readonly reader: AuditReader } {
+export function openAuditReader ({ platform }: ReturnType<typeof requiredSettings>): { readonly store: ObjectStore, readonly reader: AuditReader } {
   const { objectStore: url, bucket, region, timeout: timeoutMs } = platform
   const store = S3Store.open({ url, bucket, region, timeoutMs }, new AbortController().signal)
   return { store, reader: AuditReader.of(store) }
--- a/src/cli/burn.ts
+++ b/src/cli/burn.ts
@@ -10,14 +10,14 @@
 import type { ConfigStore } from '../shell/config/store.ts'
 import { openAuditReader } from './auditreader.ts'
 import { openConfigStore } from './configstore.ts'
-import { exit } from './exit.ts'
+import { exitCodes } from './exitcodes.ts'
 import { options } from './options.ts'
-import { reading } from './reading.ts'
-import { settingsOf } from './settingsof.ts'
+import { readStore } from './readstore.ts'
+import { requiredSettings } from './requiredsettings.ts'
 import { stop } from './stop.ts'
 
 /** At about 2,000 reads a second a report then takes some ten seconds of the store's reads. */
-const MOST_BATCHES = 20_000
+const DEFAULT_MAX_BATCHES = 20_000
 const DATE_CHARACTERS = 16
 
 export const burn = command({
@@ -31,25 +31,25 @@
     settings: options.settings,
     json: options.json,
     html: option({ type: optional(string), long: 'html', description: 'write a page with charts to this file' }),
-    most: option({ type: number, long: 'most', defaultValue: () => MOST_BATCHES, description: 'read at most so many batches, the newest; 20000 when absent' })
+    most: option({ type: number, long: 'most', defaultValue: () => DEFAULT_MAX_BATCHES, description: 'read at most so many batches, the newest; 20000 when absent' })
   },
   handler: async ({ settings: file, json, html, most }) => {
-    const settings = settingsOf(file)
-    const levels = await levelsInForce(openConfigStore(settings))
-    if (levels.length === 0) stop('the configuration has no service levels; patch its section serviceLevels', exit.refused)
-    const report = await reading(async () => await measureBurn({ ...openAuditReader(settings), levels, now: Date.now(), most }))
+    const settings = requiredSettings(file)
+    const levels = await currentServiceLevels(openConfigStore(settings))
+    if (levels.length === 0) stop('the configuration has no service levels; patch its section serviceLevels', exitCodes.refused)
+    const report = await readStore(async () => await measureBurn({ ...openAuditReader(settings), levels, now: Date.now(), most }))
     if (html !== undefined) writeFileSync(html, burnPage(report, dateOf))
     process.stdout.write(json ? `${JSON.stringify({ ...report.source, levels: report.levels })}\n` : `${burnTable(report, dateOf)}\n`)
-    if (report.source.unreadable.length > 0) stop('some batches could not be read, so the figures miss them; see agatepond explain --verify', exit.refused)
+    if (report.source.unreadable.length > 0) stop('some batches could not be read, so the figures miss them; see agatepond explain --verify', exitCodes.refused)
   }
 })
 
 /** The newest configuration's, also for records of older ones: the report says what today's promises cost. */
-async function levelsInForce (store: ConfigStore): Promise<readonly ServiceLevel[]> {
-  const newest = await reading(async () => await store.newest())
+async function currentServiceLevels (store: ConfigStore): Promise<readonly ServiceLevel[]> {
+  const newest = await readStore(async () => await store.newest())
   if (newest === undefined) return []
-  const document = await reading(async () => await store.document(newest))
-  return parseConfig(newest.version, JSON.parse(document)).match(config => config.serviceLevels, problem => stop(problem, exit.refused))
+  const document = await readStore(async () => await store.document(newest))
+  return parseConfig(newest.version, JSON.parse(document)).match(config => config.serviceLevels, problem => stop(problem, exitCodes.refused))
 }
 
 /** To the minute, in UTC. */
--- a/src/cli/check.ts
+++ b/src/cli/check.ts
@@ -1,7 +1,7 @@
 /** `agatepond check`: checks a settings file. */
 
 import { command, positional, string } from 'cmd-ts'
-import { exit } from './exit.ts'
+import { exitCodes } from './exitcodes.ts'
 import { readSettings } from './settingsfile.ts'
 
 export const check = command({
@@ -16,6 +16,6 @@
       return
     }
     process.stderr.write(`${settings.error}\n`)
-    process.exit(exit.usage)
+    process.exit(exitCodes.usage)
   }
 })
--- a/src/cli/configstore.ts
+++ b/src/cli/configstore.ts
@@ -3,9 +3,9 @@
 import { ConfigStore } from '../shell/config/store.ts'
 import { DynamoTable } from '../shell/platform/dynamotable.ts'
 import { S3Store } from '../shell/platform/s3store.ts'
-import type { settingsOf } from './settingsof.ts'
+import type { requiredSettings } from './requiredsettings.ts'
 
-export function openConfigStore ({ platform }: ReturnType<typeof settingsOf>): ConfigStore {
+export function openConfigStore ({ platform }: ReturnType<typeof requiredSettings>): ConfigStore {
   const { tableService, objectStore, table, bucket, region, timeout: timeoutMs } = platform
   const { signal } = new AbortController()
   return ConfigStore.of(
--- a/src/cli/diff.ts
+++ b/src/cli/diff.ts
@@ -5,7 +5,7 @@
 import { openConfigStore } from './configstore.ts'
 import { documentOf } from './document.ts'
 import { options } from './options.ts'
-import { settingsOf } from './settingsof.ts'
+import { requiredSettings } from './requiredsettings.ts'
 
 export const diff = command({
   name: 'diff',
@@ -18,7 +18,7 @@
     to: positional({ type: number, displayName: 'to', description: 'the later version' })
   },
   handler: async ({ settings, json, from, to }) => {
-    const store = openConfigStore(settingsOf(settings))
+    const store = openConfigStore(requiredSettings(settings))
     const difference = Difference.between(await documentOf(store, from), await documentOf(store, to))
     const text = json ? JSON.stringify(difference.lines) : difference.toString()
     process.stdout.write(text === '' ? '' : `${text}\n`, () => process.exit())
--- a/src/cli/exit.ts
+++ b/src/cli/exitcodes.ts
@@ -1,6 +1,6 @@
 /** Exit codes of the command line; the list stands in docs/OPERATIONS.md too. */
 
-export const exit = {
+export const exitCodes = {
   done: 0,
   /** What was asked for didn't hold or wasn't found. */
   refused: 1,
--- a/src/cli/explain.ts
+++ b/src/cli/explain.ts
@@ -2,6 +2,6 @@
 
 import { openAuditReader } from './auditreader.ts'
 import { explainCommand } from './explaincommand.ts'
-import { settingsOf } from './settingsof.ts'
+import { requiredSettings } from './requiredsettings.ts'
 
-export const explain = explainCommand(settings => openAuditReader(settingsOf(settings)).reader)
+export const explain = explainCommand(settings => openAuditReader(requiredSettings(settings)).reader)
--- a/src/cli/explaincommand.ts
+++ b/src/cli/explaincommand.ts
@@ -6,13 +6,13 @@
 import { explanationOf } from '../core/audit/explanation.ts'
 import { checkRecords } from '../shell/audit/check.ts'
 import type { AuditReader } from '../shell/audit/reader.ts'
-import { exit } from './exit.ts'
+import { exitCodes } from './exitcodes.ts'
 import { options } from './options.ts'
-import { reading } from './reading.ts'
+import { readStore } from './readstore.ts'
 import { stop } from './stop.ts'
 import { parseTime } from './time.ts'
 
-interface Choice {
+interface Selection {
   readonly since: string
   readonly request?: string
   readonly session?: string
@@ -51,30 +51,30 @@
 }
 
 async function explainOne (reader: AuditReader, text: string, isJson: boolean): Promise<void> {
-  const id = AuditId.parse(text) ?? stop(`"${text}" isn't the id of a request; copy it from the text of the error`, exit.usage)
-  const found = (await reading(async () => await reader.find(id))).match(value => value, problem => stop(`${text}: ${problem}`, exit.refused))
+  const id = AuditId.parse(text) ?? stop(`"${text}" isn't the id of a request; copy it from the text of the error`, exitCodes.usage)
+  const found = (await readStore(async () => await reader.find(id))).match(value => value, problem => stop(`${text}: ${problem}`, exitCodes.refused))
   const { record, key, problems } = found
-  print(isJson ? [JSON.stringify(record)] : storyOf(record, key))
-  if (problems.length > 0) stop(`${key} can't be trusted: ${problems.join('; ')}`, exit.refused)
+  print(isJson ? [JSON.stringify(record)] : descriptionOf(record, key))
+  if (problems.length > 0) stop(`${key} can't be trusted: ${problems.join('; ')}`, exitCodes.refused)
 }
 
-async function listAll (reader: AuditReader, choice: Choice): Promise<void> {
+async function listAll (reader: AuditReader, choice: Selection): Promise<void> {
   const reads = await readPeriod(reader, choice)
   const records = reads.flatMap(({ page }) => page.isOk() ? page.value.fields.records : [])
     .filter(({ fields }) => choice.request === undefined || fields.request === choice.request)
     .filter(({ fields }) => choice.session === undefined || fields.session === choice.session)
     .filter(({ fields }) => choice.once === undefined || fields.once === choice.once)
     .sort((a, b) => a.fields.at - b.fields.at)
-  print(records.flatMap(record => choice.json ? [JSON.stringify(record)] : choice.request === undefined ? [lineOf(record)] : storyOf(record)))
+  print(records.flatMap(record => choice.json ? [JSON.stringify(record)] : choice.request === undefined ? [summaryOf(record)] : descriptionOf(record)))
   const { problems, dropped } = checkRecords(reads)
   if (dropped > 0) process.stderr.write(`${dropped} records of this period were dropped by their processes\n`)
   const damages = reads.flatMap(({ key, page }) => page.isErr() ? [`${key.text}: ${page.error}`] : [])
-  if (damages.length > 0) stop(damages.join('\n'), exit.refused)
-  if (problems.length > 0) stop(`${problems.length} problems; see agatepond explain --verify`, exit.refused)
-  if (records.length === 0) stop('no record of this period fits', exit.refused)
+  if (damages.length > 0) stop(damages.join('\n'), exitCodes.refused)
+  if (problems.length > 0) stop(`${problems.length} problems; see agatepond explain --verify`, exitCodes.refused)
+  if (records.length === 0) stop('no record of this period fits', exitCodes.refused)
 }
 
-async function verifyAll (reader: AuditReader, choice: Choice): Promise<void> {
+async function verifyAll (reader: AuditReader, choice: Selection): Promise<void> {
   const report = checkRecords(await readPeriod(reader, choice))
   const { batches, records, dropped, kept, problems, notes } = report
   print(choice.json
@@ -86,23 +86,23 @@
         ...problems.map(problem => `problem: ${problem}`),
         `problems: ${problems.length}`
       ])
-  if (problems.length > 0) process.exit(exit.refused)
-  if (records === 0) stop('no record in this period, so nothing was checked', exit.refused)
+  if (problems.length > 0) process.exit(exitCodes.refused)
+  if (records === 0) stop('no record in this period, so nothing was checked', exitCodes.refused)
 }
 
-async function readPeriod (reader: AuditReader, { since }: Choice): ReturnType<AuditReader['readAll']> {
+async function readPeriod (reader: AuditReader, { since }: Selection): ReturnType<AuditReader['readAll']> {
   const now = Date.now()
-  const from = parseTime(since, now).match(value => value, problem => stop(problem, exit.usage))
-  return await reading(async () => await reader.readAll(await reader.keys(from, now)))
+  const from = parseTime(since, now).match(value => value, problem => stop(problem, exitCodes.usage))
+  return await readStore(async () => await reader.readAll(await reader.keys(from, now)))
 }
 
 /** `key`: the batch that holds it. */
-function storyOf (record: AuditRecord, key?: string): readonly string[] {
+function descriptionOf (record: AuditRecord, key?: string): readonly string[] {
   const from = key === undefined ? '' : `, from ${key}`
   return [`Request ${record.fields.id}, ${dateOf(record)}${from}`, ...explanationOf(record)]
 }
 
-function lineOf (record: AuditRecord): string {
+function summaryOf (record: AuditRecord): string {
   const { id, kind, outcome, tookMs, session, attempts } = record.fields
   const where = attempts.map(one => one.endpoint === '' ? 'nowhere' : one.endpoint).join(' > ')
   return `${dateOf(record)}  ${id}  session ${session}  ${kind}  ${where}  ${outcome ?? 'no outcome'}  ${tookMs ?? 0} ms`
--- a/src/cli/history.ts
+++ b/src/cli/history.ts
@@ -6,10 +6,10 @@
 import type { ConfigStore } from '../shell/config/store.ts'
 import { openConfigStore } from './configstore.ts'
 import { options } from './options.ts'
-import { reading } from './reading.ts'
-import { settingsOf } from './settingsof.ts'
+import { readStore } from './readstore.ts'
+import { requiredSettings } from './requiredsettings.ts'
 
-const LAST = 20
+const DEFAULT_COUNT = 20
 
 export const history = command({
   name: 'history',
@@ -17,12 +17,12 @@
   examples: [{ description: 'The last five', command: 'agatepond history --settings agatepond.toml --last 5' }],
   args: {
     settings: options.settings,
-    last: option({ type: number, long: 'last', defaultValue: () => LAST, description: `how many; ${LAST} if left out` }),
+    last: option({ type: number, long: 'last', defaultValue: () => DEFAULT_COUNT, description: `how many; ${DEFAULT_COUNT} if left out` }),
     json: options.json
   },
   handler: async ({ settings, last, json }) => {
-    const store = openConfigStore(settingsOf(settings))
-    const revisions = await reading(async () => await newestOf(store, last))
+    const store = openConfigStore(requiredSettings(settings))
+    const revisions = await readStore(async () => await newestOf(store, last))
     const entries = revisions.map(entryOf)
     if (json) process.stdout.write(`${JSON.stringify(entries)}\n`)
     else for (const entry of entries) process.stdout.write(`${entry.version}  ${entry.at}  ${entry.by}  ${entry.why || '(no reason given)'}  ${entry.id}\n`)
--- a/src/cli/loadcommand.ts
+++ b/src/cli/loadcommand.ts
@@ -1,7 +1,7 @@
 /** Makes the command `load`: what groups' endpoints are used for, who waits, and whose load it is. */
 
 import { array, command, multioption, option, optional, string } from 'cmd-ts'
-import { exit } from './exit.ts'
+import { exitCodes } from './exitcodes.ts'
 import { loadLines } from './loadlines.ts'
 import { surveyLoad } from './loadsurvey.ts'
 import { options } from './options.ts'
@@ -23,9 +23,9 @@
     handler: async ({ settings, at, json }) => {
       const isListed = at.length === 0 && settings !== undefined
       const addresses = isListed ? await listed?.(settings) ?? [] : at
-      if (addresses.length === 0) stop(USAGE, exit.usage)
-      const { picture, silent } = await surveyLoad(addresses)
-      if (picture.hosts.length === 0) stop(`no host told of its load: ${silent.join(', ')}; ask one by --at and the address of its metrics`, exit.unknown)
+      if (addresses.length === 0) stop(USAGE, exitCodes.usage)
+      const { snapshot: picture, silent } = await surveyLoad(addresses)
+      if (picture.hosts.length === 0) stop(`no host told of its load: ${silent.join(', ')}; ask one by --at and the address of its metrics`, exitCodes.unknown)
       process.stdout.write(json ? `${JSON.stringify({ ...picture.toJSON(), silent })}\n` : `${loadLines(picture, silent).join('\n')}\n`)
     }
   })
--- a/src/cli/loadlines.ts
+++ b/src/cli/loadlines.ts
@@ -7,7 +7,7 @@
 type Row = readonly string[]
 
 /** Teams of a group that are shown; `--json` has all that the hosts told. */
-const MOST_TEAMS = 5
+const MAX_TEAMS = 5
 
 /** `silent`: hosts that didn't tell. */
 export function loadLines ({ hosts, groups }: LoadSnapshot, silent: readonly string[]): readonly string[] {
@@ -19,9 +19,9 @@
 
 function linesOf (group: Group): readonly string[] {
   const { teams, rest } = group
-  const all = teams.reduce((sum, one) => sum + asked(one), asked(rest))
-  const shown = teams.slice(0, MOST_TEAMS)
-  const others = teams.slice(MOST_TEAMS).reduce((sum, { done, refused }) => ({ done: sum.done + done, refused: sum.refused + refused }), rest)
+  const all = teams.reduce((sum, one) => sum + requestCount(one), requestCount(rest))
+  const shown = teams.slice(0, MAX_TEAMS)
+  const others = teams.slice(MAX_TEAMS).reduce((sum, { done, refused }) => ({ done: sum.done + done, refused: sum.refused + refused }), rest)
   return [
     `group ${group.group}, ${group.owners} owners`,
     ...table([
@@ -38,8 +38,8 @@
     ]),
     ...table([
       ['team', 'part', 'done', 'refused'],
-      ...shown.map(one => [one.team, partOf(asked(one), all), String(one.done), String(one.refused)]),
-      ['all others', partOf(asked(others), all), String(others.done), String(others.refused)]
+      ...shown.map(one => [one.team, percentage(requestCount(one), all), String(one.done), String(one.refused)]),
+      ['all others', percentage(requestCount(others), all), String(others.done), String(others.refused)]
     ])
   ]
 }
@@ -49,10 +49,10 @@
   return rows.map(row => `  ${row.map((cell, column) => cell.padEnd(widths[column]!)).join('  ')}`.trimEnd())
 }
 
-function asked ({ done, refused }: Group['rest']): number {
+function requestCount ({ done, refused }: Group['rest']): number {
   return done + refused
 }
 
-function partOf (count: number, all: number): string {
+function percentage (count: number, all: number): string {
   return all === 0 ? '-' : `${Math.round(count / all * 100)}%`
 }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -4,7 +4,7 @@
 import { burn } from './burn.ts'
 import { check } from './check.ts'
 import { diff } from './diff.ts'
-import { exit } from './exit.ts'
+import { exitCodes } from './exitcodes.ts'
 import { explain } from './explain.ts'
 import { history } from './history.ts'
 import { load } from './load.ts'
@@ -42,5 +42,5 @@
   if (result._tag === 'ok') return
   const { exitCode, into, message } = result.error.config
   process[into].write(`${message}\n`)
-  process.exit(exitCode === 0 ? exit.done : exit.usage)
+  process.exit(exitCode === 0 ? exitCodes.done : exitCodes.usage)
 })
--- a/src/cli/patch.ts
+++ b/src/cli/patch.ts
@@ -7,13 +7,13 @@
 import { Submission } from '../shell/config/submission.ts'
 import type { SubmissionResult } from '../shell/config/submissionresult.ts'
 import { openConfigStore } from './configstore.ts'
-import { exit } from './exit.ts'
+import { exitCodes } from './exitcodes.ts'
 import { options } from './options.ts'
 import { readPatch } from './patchfile.ts'
-import { settingsOf } from './settingsof.ts'
+import { requiredSettings } from './requiredsettings.ts'
 import { stop } from './stop.ts'
 
-type Exit = (typeof exit)[keyof typeof exit]
+type ExitCode = (typeof exitCodes)[keyof typeof exitCodes]
 
 export const patch = command({
   name: 'patch',
@@ -32,11 +32,11 @@
     file: positional({ type: string, displayName: 'file', description: 'the whole document, or { change = … }; JSON, or TOML by its name' })
   },
   handler: async ({ settings, base, id: given, by, why, json, file }) => {
-    const store = openConfigStore(settingsOf(settings))
-    if (!Number.isInteger(base) || base < 0) stop(`--base ${base}: not a version; write a whole number, 0 for the first patch`, exit.usage)
-    const body = readPatch(file).match(value => value, problem => stop(problem, exit.usage))
+    const store = openConfigStore(requiredSettings(settings))
+    if (!Number.isInteger(base) || base < 0) stop(`--base ${base}: not a version; write a whole number, 0 for the first patch`, exitCodes.usage)
+    const body = readPatch(file).match(value => value, problem => stop(problem, exitCodes.usage))
     const id = given ?? randomUUID()
-    if (!/^[\w.-]{1,64}$/.test(id)) stop(`--id ${id}: write up to 64 letters, digits, "_", "-" and "."`, exit.usage)
+    if (!/^[\w.-]{1,64}$/.test(id)) stop(`--id ${id}: write up to 64 letters, digits, "_", "-" and "."`, exitCodes.usage)
     // Said before the store is asked, so that the id is known even when this command is killed.
     if (given === undefined) process.stderr.write(`patch id ${id}\n`)
     const verdict = await Submission.of(store, {
@@ -44,20 +44,20 @@
     }).run()
     const { code, text } = outcomeOf(verdict, file, id)
     if (json) process.stdout.write(`${JSON.stringify({ id, ...verdict })}\n`)
-    else (code === exit.done ? process.stdout : process.stderr).write(`${text}\n`)
+    else (code === exitCodes.done ? process.stdout : process.stderr).write(`${text}\n`)
     process.exit(code)
   }
 })
 
-function outcomeOf (verdict: SubmissionResult, file: string, id: string): { readonly code: Exit, readonly text: string } {
+function outcomeOf (verdict: SubmissionResult, file: string, id: string): { readonly code: ExitCode, readonly text: string } {
   switch (verdict.kind) {
-    case 'accepted': return { code: exit.done, text: `version ${verdict.version} accepted` }
+    case 'accepted': return { code: exitCodes.done, text: `version ${verdict.version} accepted` }
     case 'outdated': return {
-      code: exit.refused,
+      code: exitCodes.refused,
       text: `refused: version ${verdict.newest} is the newest; look at what changed since and base your patch on it:\n${verdict.changes}`
     }
-    case 'reused': return { code: exit.refused, text: `refused: the id ${id} is that of another patch, version ${verdict.version}; leave --id out or choose a new one` }
-    case 'invalid': return { code: exit.usage, text: `${file}: ${verdict.problem}` }
-    case 'unknown': return { code: exit.unknown, text: `unknown: the store does not answer (${verdict.cause}); run the same command with --id ${id}` }
+    case 'reused': return { code: exitCodes.refused, text: `refused: the id ${id} is that of another patch, version ${verdict.version}; leave --id out or choose a new one` }
+    case 'invalid': return { code: exitCodes.usage, text: `${file}: ${verdict.problem}` }
+    case 'unknown': return { code: exitCodes.unknown, text: `unknown: the store does not answer (${verdict.cause}); run the same command with --id ${id}` }
   }
 }
--- a/src/cli/reading.ts
+++ b/src/cli/readstore.ts
@@ -1,12 +1,12 @@
 /** Reads of the store for a command, which ends when the store doesn't answer. */
 
-import { exit } from './exit.ts'
+import { exitCodes } from './exitcodes.ts'
 import { stop } from './stop.ts'
 
-export async function reading<T> (read: () => Promise<T>): Promise<T> {
+export async function readStore<T> (read: () => Promise<T>): Promise<T> {
   try {
     return await read()
   } catch (err) {
-    return stop(`the store does not answer (${(err as Error).message}); run the command again`, exit.unknown)
+    return stop(`the store does not answer (${(err as Error).message}); run the command again`, exitCodes.unknown)
   }
 }
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -2,11 +2,11 @@
 
 import { command, option, string } from 'cmd-ts'
 import { Node } from '../shell/node/node.ts'
-import { exit } from './exit.ts'
-import { keysOf } from './keysof.ts'
+import { exitCodes } from './exitcodes.ts'
+import { readTlsKeys } from './tlskeys.ts'
 import { readSettings } from './settingsfile.ts'
 
-const FLUSH_MS = 100
+const FLUSH_DELAY_MS = 100
 
 export const serve = command({
   name: 'serve',
@@ -17,9 +17,9 @@
     const settings = readSettings(file)
     if (settings.isErr()) {
       process.stderr.write(`${settings.error}\n`)
-      process.exit(exit.usage)
+      process.exit(exitCodes.usage)
     }
-    keysOf(settings.value)
+    readTlsKeys(settings.value)
     const stopped = new AbortController()
     const node = await Node.start(settings.value, stopped.signal)
     process.once('SIGTERM', () => {
@@ -28,9 +28,9 @@
         setTimeout(() => {
           node.audit.flush(settings.value.audit.flush).then(() => {
             stopped.abort()
-            process.exit(exit.done)
+            process.exit(exitCodes.done)
           })
-        }, FLUSH_MS)
+        }, FLUSH_DELAY_MS)
       })
     })
   }
--- a/src/cli/show.ts
+++ b/src/cli/show.ts
@@ -4,7 +4,7 @@
 import { openConfigStore } from './configstore.ts'
 import { documentOf } from './document.ts'
 import { options } from './options.ts'
-import { settingsOf } from './settingsof.ts'
+import { requiredSettings } from './requiredsettings.ts'
 
 export const show = command({
   name: 'show',
@@ -15,7 +15,7 @@
     version: positional({ type: number, displayName: 'version', description: 'the number of the version' })
   },
   handler: async ({ settings, version }) => {
-    const document = await documentOf(openConfigStore(settingsOf(settings)), version)
+    const document = await documentOf(openConfigStore(requiredSettings(settings)), version)
     process.stdout.write(`${JSON.stringify(document, undefined, 2)}\n`, () => process.exit())
   }
 })
--- a/src/cli/status.ts
+++ b/src/cli/status.ts
@@ -4,10 +4,10 @@
 import { surveyHosts } from '../shell/config/survey.ts'
 import { HttpHostList } from '../shell/platform/httphostlist.ts'
 import { openConfigStore } from './configstore.ts'
-import { exit } from './exit.ts'
-import { keysOf } from './keysof.ts'
+import { exitCodes } from './exitcodes.ts'
+import { readTlsKeys } from './tlskeys.ts'
 import { options } from './options.ts'
-import { settingsOf } from './settingsof.ts'
+import { requiredSettings } from './requiredsettings.ts'
 import { stop } from './stop.ts'
 
 export const status = command({
@@ -16,18 +16,18 @@
   examples: [{ description: 'Is the newest version in force everywhere? Exit code 0 says yes', command: 'agatepond status --settings agatepond.toml' }],
   args: { settings: options.settings, json: options.json },
   handler: async ({ settings: file, json }) => {
-    const settings = settingsOf(file)
-    const keys = keysOf(settings)
+    const settings = requiredSettings(file)
+    const keys = readTlsKeys(settings)
     const { hostList, timeout } = settings.platform
     const hosts = await HttpHostList.of(hostList, timeout).hosts().catch((err: Error) =>
-      stop(`${hostList}: the host list does not answer (${err.message}); run the command again`, exit.unknown))
+      stop(`${hostList}: the host list does not answer (${err.message}); run the command again`, exitCodes.unknown))
     const newest = await openConfigStore(settings).newest().then(revision => revision?.version ?? 0, () => undefined)
     const findings = await surveyHosts(hosts, timeout, keys)
     const highest = Math.max(newest ?? 0, ...findings.map(one => one.version))
     const isWhole = findings.every(one => one.state === 'leaving' || (one.isReady && one.version === highest))
     if (json) process.stdout.write(`${JSON.stringify({ newest, isStoreUp: newest !== undefined, hosts: findings })}\n`)
     else print(newest, findings)
-    process.exit(isWhole ? exit.done : exit.refused)
+    process.exit(isWhole ? exitCodes.done : exitCodes.refused)
   }
 })
 
--- a/src/cli/keysof.ts
+++ b/src/cli/tlskeys.ts
@@ -1,17 +1,17 @@
 /** The keys for links by the settings; the command ends when they can't be used. */
 
 import { TlsKeys } from '../shell/peer/tlskeys.ts'
-import { exit } from './exit.ts'
+import { exitCodes } from './exitcodes.ts'
 import { stop } from './stop.ts'
 
 interface Settings {
   readonly peers: { readonly tls?: Parameters<typeof TlsKeys.read>[0] | undefined }
 }
 
-export function keysOf ({ peers: { tls } }: Settings): TlsKeys | undefined {
+export function readTlsKeys ({ peers: { tls } }: Settings): TlsKeys | undefined {
   try {
     return tls && TlsKeys.read(tls)
   } catch (err) {
-    return stop(`peers.tls: ${(err as Error).message}; name PEM files that this user can read, the key being the certificate's`, exit.usage)
+    return stop(`peers.tls: ${(err as Error).message}; name PEM files that this user can read, the key being the certificate's`, exitCodes.usage)
   }
 }
--- a/src/cli/trace.ts
+++ b/src/cli/trace.ts
@@ -4,7 +4,7 @@
 import { command, positional, string } from 'cmd-ts'
 import { LogLine } from '../core/trace/logline.ts'
 import { timelineOf } from '../core/trace/timeline.ts'
-import { exit } from './exit.ts'
+import { exitCodes } from './exitcodes.ts'
 
 export const trace = command({
   name: 'trace',
@@ -24,6 +24,6 @@
     if (unread > 0) process.stderr.write(`passed over ${unread} lines that are cut or not agatepond's\n`)
     if (story.length > 0) return
     process.stderr.write(`no line has the id ${id}; statements that end well are sampled, one in 64, and lines over the budget are dropped (event 6005)\n`)
-    process.exit(exit.refused)
+    process.exit(exitCodes.refused)
   }
 })
--- a/src/shell/caller/connection.ts
+++ b/src/shell/caller/connection.ts
@@ -11,10 +11,10 @@
 import { skipLeadingTrivia } from '../../core/routing/trivia.ts'
 import { statementKind } from '../../core/routing/statementkind.ts'
 import { Token } from '../../core/token.ts'
-import type { Handler } from '../mysql/handler.ts'
+import type { CommandHandler } from '../mysql/commandhandler.ts'
 import type { Reply } from '../mysql/reply.ts'
-import { PreparedStatement } from '../mysql/statement.ts'
-import { answerText } from '../mysql/textresult.ts'
+import { PreparedStatement } from '../mysql/preparedstatement.ts'
+import { writeTextResult } from '../mysql/textresult.ts'
 import { refusal } from '../peer/refusal.ts'
 import { refusalReason } from './refusalreason.ts'
 import { answerCaller } from './answer.ts'
@@ -46,7 +46,7 @@
 const ER_UNKNOWN_STATEMENT = 1243
 
 /** Handles the commands of one caller's connection. */
-export class CallerConnection implements Handler {
+export class CallerConnection implements CommandHandler {
   private hints = Hints.none
   private transaction: CallerTransaction | undefined
   /** The transaction whose BEGIN is under way. */
@@ -80,7 +80,7 @@
   async prepare (sql: string, reply: Reply): Promise<void> {
     const statement = PreparedStatement.of(this.nextStatement++, sql)
     this.statements.set(statement.id, statement)
-    reply.prepared(statement.id, statement.parameters)
+    reply.prepareOk(statement.id, statement.parameterCount)
   }
 
   async execute (payload: Buffer, reply: Reply): Promise<void> {
@@ -96,7 +96,7 @@
     reply.ok()
   }
 
-  forget (statement: number): void {
+  closeStatement (statement: number): void {
     this.statements.delete(statement)
   }
 
@@ -132,7 +132,7 @@
   /** The token that a caller may bring to another proxy, or keep; empty when the session has written nothing through this one. */
   private sendToken (sql: string, reply: Reply, isBinary: boolean): void {
     const token = this.reads.token(this.identity, Hints.parse(sql).withDefaults(this.hints))
-    answerText(reply, '@@agatepond_token', token.position === 0 ? '' : token.toString(), isBinary)
+    writeTextResult(reply, '@@agatepond_token', token.position === 0 ? '' : token.toString(), isBinary)
   }
 
   /** What isn't admissible goes nowhere, and is on record like any other request. */
--- a/src/shell/caller/frontend.ts
+++ b/src/shell/caller/frontend.ts
@@ -2,7 +2,7 @@
 
 import { randomUUID } from 'node:crypto'
 import type { SessionId } from '../../core/id/session.ts'
-import type { Handler } from '../mysql/handler.ts'
+import type { CommandHandler } from '../mysql/commandhandler.ts'
 import type { Login } from '../mysql/login.ts'
 import { CallerConnection } from './connection.ts'
 import type { CallerContext } from './context.ts'
@@ -13,11 +13,11 @@
 const ER_SERVER_SHUTDOWN = 1053
 
 /** The handler of a caller, or the MySQL error that refuses it. */
-export async function acceptCaller (context: CallerContext, reads: SessionReadRouter, login: Login): Promise<Handler | { readonly code: number, readonly message: string }> {
+export async function acceptCaller (context: CallerContext, reads: SessionReadRouter, login: Login): Promise<CommandHandler | { readonly code: number, readonly message: string }> {
   const config = context.config()
   if (config === undefined) return { code: ER_SERVER_SHUTDOWN, message: 'this proxy has no configuration yet; try another' }
   const owns = config.pools.filter(pool => pool.callers.some(caller => caller.id === login.user))
-  const isKnown = owns.some(pool => pool.callers.some(caller => caller.id === login.user && login.proves(caller.passwordHash)))
+  const isKnown = owns.some(pool => pool.callers.some(caller => caller.id === login.user && login.verifyPassword(caller.passwordHash)))
   if (!isKnown) return { code: ER_ACCESS_DENIED, message: `Access denied for user '${login.user}'@'${login.address}'` }
   for (const pool of owns) {
     const group = config.groups.find(one => pool.groups.includes(one.id) && (login.database === '' || one.database === login.database))
--- a/src/shell/caller/relay.ts
+++ b/src/shell/caller/relay.ts
@@ -2,7 +2,7 @@
 
 import { create } from '@bufbuild/protobuf'
 import { RunSchema, type Done, type Run } from '../../gen/peer_pb.ts'
-import { BinaryRows } from '../mysql/binaryrow.ts'
+import { BinaryRowEncoder } from '../mysql/binaryrowencoder.ts'
 import type { Reply } from '../mysql/reply.ts'
 import { refusal } from '../peer/refusal.ts'
 import type { SlotPort } from '../peer/slotport.ts'
@@ -18,17 +18,17 @@
 export async function relay (port: SlotPort | undefined, request: Request, reply: Reply, isBinary: boolean, onRunning: (cancel: () => void) => void): Promise<Done> {
   if (port === undefined) return refusal(0, 'noSlotOwner')
   return await new Promise<Done>(resolve => {
-    let binary: BinaryRows | undefined
+    let binary: BinaryRowEncoder | undefined
     const running = port.run(create(RunSchema, request), {
       head: columns => {
-        if (isBinary) binary = BinaryRows.of(columns)
+        if (isBinary) binary = BinaryRowEncoder.of(columns)
         reply.head(columns)
       },
       rows: rows => {
         const bytes = rows.reduce((sum, row) => sum + row.length, 0)
         const isTaken = reply.rows(binary === undefined ? rows : rows.map(row => binary!.encode(row)))
         if (isTaken) return running.credit(bytes)
-        reply.drained().then(() => running.credit(bytes))
+        reply.waitForDrain().then(() => running.credit(bytes))
       },
       done: resolve
     })
--- a/src/shell/endpoint/connection.ts
+++ b/src/shell/endpoint/connection.ts
@@ -1,7 +1,7 @@
 /** One connection to an endpoint. */
 
 import mysql from 'mysql2'
-import { RawQuery } from '../mysql/query.ts'
+import { QueryCommand } from '../mysql/querycommand.ts'
 import type { QuerySink } from '../mysql/querysink.ts'
 import { ResetCommand } from '../mysql/resetcommand.ts'
 import type { Wire } from '../mysql/wire.ts'
@@ -57,8 +57,8 @@
   }
 
   run (sql: string, sink: QuerySink): void {
-    if (this.isLost) return sink.lost(new Error('the connection is lost'))
-    this.wire.addCommand(RawQuery.of(sql, sink))
+    if (this.isLost) return sink.connectionLost(new Error('the connection is lost'))
+    this.wire.addCommand(QueryCommand.of(sql, sink))
   }
 
   /** Runs a statement and collects its answer; for the few statements of the proxy's own. */
@@ -71,7 +71,7 @@
         ok: () => resolve(rows),
         end: () => resolve(rows),
         error: (code, message) => reject(Object.assign(new Error(message), { code })),
-        lost: reject
+        connectionLost: reject
       })
     })
   }
--- a/src/shell/endpoint/execution.test.ts
+++ b/src/shell/endpoint/execution.test.ts
@@ -90,7 +90,7 @@
     await bench.run('UPDATE', run, tx)
     bench.transactions.release(tx)
     bench.transactions.release(tx)
-    bench.sinks.shift()!.lost(new Error('closed'))
+    bench.sinks.shift()!.connectionLost(new Error('closed'))
     await settle()
     expect(bench.events).toEqual(['BEGIN', 'UPDATE', 'closed'])
     expect(bench.dones.at(-1)?.reason).toBe('lostTransaction')
--- a/src/shell/endpoint/execution.ts
+++ b/src/shell/endpoint/execution.ts
@@ -178,7 +178,7 @@
         this.handle({ kind: 'answered', counts: NO_COUNTS, isOpen: isOpen(status), hasRows, token: undefined })
       },
       error: (code, message) => this.handle({ kind: 'refused', code, message }),
-      lost: err => this.handle({ kind: 'lost', detail: err.message })
+      connectionLost: err => this.handle({ kind: 'lost', detail: err.message })
     })
   }
 
--- a/src/shell/mysql/binaryrow.ts
+++ b/src/shell/mysql/binaryrowencoder.ts
@@ -1,6 +1,6 @@
 /** Rows of the text protocol turned into rows of the binary protocol. */
 
-const enum Type {
+const enum ColumnType {
   Tiny = 1,
   Short = 2,
   Long = 3,
@@ -15,21 +15,21 @@
   Year = 13
 }
 
-const NULL = 0xfb
-const WHOLE = /^-?\d+$/
+const NULL_MARKER = 0xfb
+const INTEGER = /^-?\d+$/
 /** Result rows of the binary protocol leave two bits of their null bitmap unused. */
 const BITMAP_SHIFT = 2
 
 /** A date with its length. */
 const DATE_BYTES = 5
-const MICROS_BYTES = 4
+const MICROSECOND_BYTES = 4
 
 /** Encodes the rows of one result; made from the column definitions of its head. */
-export class BinaryRows {
+export class BinaryRowEncoder {
   private constructor (private readonly types: readonly number[]) {}
 
-  static of (columns: readonly Uint8Array[]): BinaryRows {
-    return new BinaryRows(columns.map(typeOf))
+  static of (columns: readonly Uint8Array[]): BinaryRowEncoder {
+    return new BinaryRowEncoder(columns.map(typeOf))
   }
 
   /** Throws a RangeError when the row doesn't fit its columns. */
@@ -39,7 +39,7 @@
     const parts: Buffer[] = [Buffer.from([0]), bitmap]
     let offset = 0
     this.types.forEach((type, i) => {
-      if (row[offset] === NULL) {
+      if (row[offset] === NULL_MARKER) {
         bitmap[i + BITMAP_SHIFT >> 3]! |= 1 << (i + BITMAP_SHIFT & 7)
         offset += 1
         return
@@ -55,55 +55,55 @@
 function encodeValue (type: number, row: Buffer, from: number, start: number, end: number): Buffer {
   const text = (): string => row.toString('latin1', start, end)
   switch (type) {
-    case Type.Tiny: return whole(text(), 1)
-    case Type.Short:
-    case Type.Year: return whole(text(), 2)
-    case Type.Long:
-    case Type.Int24: return whole(text(), 4)
-    case Type.LongLong: return whole(text(), 8)
-    case Type.Float: return float(Number(text()))
-    case Type.Double: return double(Number(text()))
-    case Type.Date: return date(text()).subarray(0, DATE_BYTES).fill(DATE_BYTES - 1, 0, 1)
-    case Type.DateTime:
-    case Type.Timestamp: return withoutMicros(date(text()))
-    case Type.Time: return withoutMicros(time(text()))
+    case ColumnType.Tiny: return encodeInteger(text(), 1)
+    case ColumnType.Short:
+    case ColumnType.Year: return encodeInteger(text(), 2)
+    case ColumnType.Long:
+    case ColumnType.Int24: return encodeInteger(text(), 4)
+    case ColumnType.LongLong: return encodeInteger(text(), 8)
+    case ColumnType.Float: return encodeFloat(Number(text()))
+    case ColumnType.Double: return encodeDouble(Number(text()))
+    case ColumnType.Date: return encodeDateTime(text()).subarray(0, DATE_BYTES).fill(DATE_BYTES - 1, 0, 1)
+    case ColumnType.DateTime:
+    case ColumnType.Timestamp: return omitZeroMicroseconds(encodeDateTime(text()))
+    case ColumnType.Time: return omitZeroMicroseconds(time(text()))
     default: return row.subarray(from, end)
   }
 }
 
 /** Two's complement of any width; unsigned values have the same bytes. */
-function whole (text: string, bytes: number): Buffer {
-  if (!WHOLE.test(text)) throw new RangeError(`"${text}" isn't a whole number`)
+function encodeInteger (text: string, bytes: number): Buffer {
+  if (!INTEGER.test(text)) throw new RangeError(`"${text}" isn't a whole number`)
   const buffer = Buffer.allocUnsafe(8)
   buffer.writeBigInt64LE(BigInt.asIntN(64, BigInt(text)))
   return buffer.subarray(0, bytes)
 }
 
-function float (value: number): Buffer {
+function encodeFloat (value: number): Buffer {
   const buffer = Buffer.allocUnsafe(4)
   buffer.writeFloatLE(value)
   return buffer
 }
 
-function double (value: number): Buffer {
+function encodeDouble (value: number): Buffer {
   const buffer = Buffer.allocUnsafe(8)
   buffer.writeDoubleLE(value)
   return buffer
 }
 
-function date (text: string): Buffer {
+function encodeDateTime (text: string): Buffer {
   const parts = text.match(/\d+/g)?.map(Number) ?? []
   const buffer = Buffer.alloc(12)
   buffer[0] = 11
   buffer.writeUInt16LE(parts[0] ?? 0, 1)
   for (let i = 1; i <= 5; i++) buffer[i + 2] = parts[i] ?? 0
-  buffer.writeUInt32LE(micros(text), 8)
+  buffer.writeUInt32LE(microsecondsOf(text), 8)
   return buffer
 }
 
 /** Clients print the microseconds that are sent, so a value without them must not have any. */
-function withoutMicros (value: Buffer): Buffer {
-  const short = value.length - MICROS_BYTES
+function omitZeroMicroseconds (value: Buffer): Buffer {
+  const short = value.length - MICROSECOND_BYTES
   if (value.readUInt32LE(short) !== 0) return value
   value[0] = short - 1
   return value.subarray(0, short)
@@ -119,11 +119,11 @@
   buffer[6] = hours % 24
   buffer[7] = parts[1] ?? 0
   buffer[8] = parts[2] ?? 0
-  buffer.writeUInt32LE(micros(text), 9)
+  buffer.writeUInt32LE(microsecondsOf(text), 9)
   return buffer
 }
 
-function micros (text: string): number {
+function microsecondsOf (text: string): number {
   const fraction = text.split('.')[1]
   return fraction === undefined ? 0 : Number(fraction.padEnd(6, '0').slice(0, 6))
 }
--- a/src/shell/mysql/handler.ts
+++ b/src/shell/mysql/commandhandler.ts
@@ -3,7 +3,7 @@
 import type { Reply } from './reply.ts'
 
 /** Commands of one connection arrive one at a time: the next one when the promise of the last has settled. */
-export interface Handler {
+export interface CommandHandler {
   /** Whether a transaction is open between two commands. */
   readonly isInTransaction?: boolean
   query (sql: string, reply: Reply): Promise<void>
@@ -15,7 +15,7 @@
   /** COM_RESET_CONNECTION. */
   reset (reply: Reply): Promise<void>
   /** COM_STMT_CLOSE, which has no answer. */
-  forget (statement: number): void
+  closeStatement (statement: number): void
   /** The client is gone. Called once. */
   closed (): void
 }
--- a/src/shell/mysql/login.ts
+++ b/src/shell/mysql/login.ts
@@ -6,7 +6,7 @@
   readonly attributes: Readonly<Record<string, string>>
   readonly address: string
   /** Whether the client knows the password of the hash. */
-  proves (passwordHash: string): boolean
+  verifyPassword (passwordHash: string): boolean
   /** Closes the connection after what was written to it. */
-  hangUp (): void
+  closeConnection (): void
 }
--- a/src/shell/mysql/proof.ts
+++ b/src/shell/mysql/nativepassword.ts
@@ -7,7 +7,7 @@
  * `passwordHash`, for the scramble that the server sent. Only the double hash
  * is kept, so a leaked configuration doesn't let anyone sign in.
  */
-export function provesPassword (answer: Buffer, scramble: Buffer, passwordHash: string): boolean {
+export function isNativePassword (answer: Buffer, scramble: Buffer, passwordHash: string): boolean {
   const stored = Buffer.from(passwordHash, 'hex')
   if (answer.length !== stored.length) return false
   const mask = sha1(Buffer.concat([scramble, stored]))
--- a/src/shell/mysql/okpacket.ts
+++ b/src/shell/mysql/okpacket.ts
@@ -3,7 +3,7 @@
 import { Token } from '../../core/token.ts'
 import type { Wire } from './wire.ts'
 
-type Incoming = NonNullable<Parameters<Parameters<Wire['addCommand']>[0]['execute']>[0]>
+type IncomingPacket = NonNullable<Parameters<Parameters<Wire['addCommand']>[0]['execute']>[0]>
 
 const SESSION_STATE_CHANGED = 0x4000
 const TRACK_GTIDS = 3
@@ -19,15 +19,15 @@
   ) {}
 
   /** Throws a RangeError when the packet is cut short or its lengths reach past it. */
-  static read (packet: Incoming): OkPacket {
+  static read (packet: IncomingPacket): OkPacket {
     try {
-      return OkPacket.take(packet)
+      return OkPacket.parse(packet)
     } catch (err) {
       throw new RangeError('an endpoint sent an OK packet that cannot be read', { cause: err })
     }
   }
 
-  private static take (packet: Incoming): OkPacket {
+  private static parse (packet: IncomingPacket): OkPacket {
     packet.readInt8()
     const affected = packet.readLengthCodedNumber() ?? 0
     const insertId = packet.readLengthCodedNumber() ?? 0
@@ -48,7 +48,7 @@
   }
 }
 
-function readToken (packet: Incoming, status: number): Token | undefined {
+function readToken (packet: IncomingPacket, status: number): Token | undefined {
   if ((status & SESSION_STATE_CHANGED) === 0 || packet.offset >= packet.end) return undefined
   packet.readLengthCodedString('utf8')
   const length = packet.readLengthCodedNumber() ?? 0
--- a/src/shell/mysql/statement.ts
+++ b/src/shell/mysql/preparedstatement.ts
@@ -2,7 +2,7 @@
 
 import { findPlaceholders } from '../../core/routing/placeholders.ts'
 
-const enum Type {
+const enum ParameterType {
   Tiny = 1,
   Short = 2,
   Long = 3,
@@ -24,9 +24,9 @@
  * backslash doesn't: with NO_BACKSLASH_ESCAPES an escaped quote would end the
  * text, and what a caller sent as a value would run as SQL.
  */
-const PLAIN = /^[^\\\0]*$/
+const SAFE_TEXT = /^[^\\\0]*$/
 /** Statement id, flags and iteration count before the null bitmap. */
-const FIXED = 9
+const FIXED_BYTES = 9
 
 /**
  * A prepared statement. Endpoints see it as text with its values in place:
@@ -42,25 +42,25 @@
     return new PreparedStatement(id, sql, findPlaceholders(sql))
   }
 
-  get parameters (): number {
+  get parameterCount (): number {
     return this.places.length
   }
 
   /** The text to run for a COM_STMT_EXECUTE payload. Throws a RangeError when the payload is cut short. */
   bind (payload: Buffer): string {
     if (this.places.length === 0) return this.sql
-    const bitmap = payload.subarray(FIXED, FIXED + (this.places.length + 7 >> 3))
-    let offset = FIXED + bitmap.length
+    const bitmap = payload.subarray(FIXED_BYTES, FIXED_BYTES + (this.places.length + 7 >> 3))
+    let offset = FIXED_BYTES + bitmap.length
     if (payload.readUInt8(offset++) === 1) {
       this.types = this.places.map((_, i) => payload.readUInt16LE(offset + i * 2))
       offset += this.places.length * 2
     }
-    const cursor = new Cursor(payload, offset)
+    const cursor = new ParameterReader(payload, offset)
     let sql = ''
     let from = 0
     this.places.forEach((place, i) => {
       const isNull = (bitmap[i >> 3]! >> (i & 7) & 1) === 1
-      sql += this.sql.slice(from, place) + (isNull ? 'NULL' : cursor.literal(this.types[i] ?? Type.Null))
+      sql += this.sql.slice(from, place) + (isNull ? 'NULL' : cursor.literal(this.types[i] ?? ParameterType.Null))
       from = place + 1
     })
     return sql + this.sql.slice(from)
@@ -68,66 +68,66 @@
 }
 
 /** Reads values of the binary protocol as SQL literals. */
-class Cursor {
+class ParameterReader {
   constructor (private readonly data: Buffer, private offset: number) {}
 
   literal (type: number): string {
     const isUnsigned = (type >> 8 & UNSIGNED) !== 0
     switch (type & 0xff) {
-      case Type.Null: return 'NULL'
-      case Type.Tiny: return this.whole(1, isUnsigned)
-      case Type.Short:
-      case Type.Year: return this.whole(2, isUnsigned)
-      case Type.Long:
-      case Type.Int24: return this.whole(4, isUnsigned)
-      case Type.LongLong: return this.long(isUnsigned)
-      case Type.Float: return String(this.data.readFloatLE(this.step(4)))
-      case Type.Double: return String(this.data.readDoubleLE(this.step(8)))
-      case Type.Date:
-      case Type.DateTime:
-      case Type.Timestamp: return this.date()
-      case Type.Time: return this.time()
+      case ParameterType.Null: return 'NULL'
+      case ParameterType.Tiny: return this.integer(1, isUnsigned)
+      case ParameterType.Short:
+      case ParameterType.Year: return this.integer(2, isUnsigned)
+      case ParameterType.Long:
+      case ParameterType.Int24: return this.integer(4, isUnsigned)
+      case ParameterType.LongLong: return this.bigint(isUnsigned)
+      case ParameterType.Float: return String(this.data.readFloatLE(this.advance(4)))
+      case ParameterType.Double: return String(this.data.readDoubleLE(this.advance(8)))
+      case ParameterType.Date:
+      case ParameterType.DateTime:
+      case ParameterType.Timestamp: return this.date()
+      case ParameterType.Time: return this.time()
       default: return this.text()
     }
   }
 
-  private step (bytes: number): number {
+  private advance (bytes: number): number {
     const at = this.offset
     this.offset += bytes
     return at
   }
 
-  private whole (bytes: number, isUnsigned: boolean): string {
-    const at = this.step(bytes)
+  private integer (bytes: number, isUnsigned: boolean): string {
+    const at = this.advance(bytes)
     return String(isUnsigned ? this.data.readUIntLE(at, bytes) : this.data.readIntLE(at, bytes))
   }
 
-  private long (isUnsigned: boolean): string {
-    const at = this.step(8)
+  private bigint (isUnsigned: boolean): string {
+    const at = this.advance(8)
     return String(isUnsigned ? this.data.readBigUInt64LE(at) : this.data.readBigInt64LE(at))
   }
 
   private text (): string {
-    const size = this.size()
-    const at = this.step(size)
+    const size = this.length()
+    const at = this.advance(size)
     if (at + size > this.data.length) throw new RangeError('a value reaches past its packet')
     const bytes = this.data.subarray(at, at + size)
     const text = bytes.toString('utf8')
     if (!Buffer.from(text).equals(bytes)) return `X'${bytes.toString('hex')}'`
-    return PLAIN.test(text) ? `'${text.replaceAll("'", "''")}'` : `_utf8mb4 X'${bytes.toString('hex')}'`
+    return SAFE_TEXT.test(text) ? `'${text.replaceAll("'", "''")}'` : `_utf8mb4 X'${bytes.toString('hex')}'`
   }
 
-  private size (): number {
-    const first = this.data.readUInt8(this.step(1))
+  private length (): number {
+    const first = this.data.readUInt8(this.advance(1))
     if (first < 251) return first
-    if (first === 252) return this.data.readUInt16LE(this.step(2))
-    if (first === 253) return this.data.readUIntLE(this.step(3), 3)
-    return Number(this.data.readBigUInt64LE(this.step(8)))
+    if (first === 252) return this.data.readUInt16LE(this.advance(2))
+    if (first === 253) return this.data.readUIntLE(this.advance(3), 3)
+    return Number(this.data.readBigUInt64LE(this.advance(8)))
   }
 
   private date (): string {
-    const size = this.data.readUInt8(this.step(1))
-    const at = this.step(size)
+    const size = this.data.readUInt8(this.advance(1))
+    const at = this.advance(size)
     if (size === 0) return "'0000-00-00'"
     const day = [this.data.readUInt16LE(at), this.data.readUInt8(at + 2), this.data.readUInt8(at + 3)].map(pad).join('-')
     if (size === 4) return `'${day}'`
@@ -137,8 +137,8 @@
   }
 
   private time (): string {
-    const size = this.data.readUInt8(this.step(1))
-    const at = this.step(size)
+    const size = this.data.readUInt8(this.advance(1))
+    const at = this.advance(size)
     if (size === 0) return "'00:00:00'"
     const sign = this.data.readUInt8(at) === 1 ? '-' : ''
     const hours = this.data.readUInt32LE(at + 1) * 24 + this.data.readUInt8(at + 5)
--- a/src/shell/mysql/query.ts
+++ b/src/shell/mysql/querycommand.ts
@@ -1,12 +1,12 @@
 /** One text query on an endpoint's connection, relayed packet by packet. */
 
 import { OkPacket } from './okpacket.ts'
-import { RawPacket } from './packet.ts'
+import { RawPacket } from './rawpacket.ts'
 import { payloadOf } from './payload.ts'
 import type { QuerySink } from './querysink.ts'
 import type { Wire } from './wire.ts'
 
-type Incoming = NonNullable<Parameters<Parameters<Wire['addCommand']>[0]['execute']>[0]>
+type IncomingPacket = NonNullable<Parameters<Parameters<Wire['addCommand']>[0]['execute']>[0]>
 
 const COM_QUERY = 3
 const MORE_RESULTS = 8
@@ -17,32 +17,32 @@
  * and rows pass through undecoded: a proxy has no use for their values, and
  * decoding them was most of the cost of a statement.
  */
-export class RawQuery {
+export class QueryCommand {
   private state: 'start' | 'header' | 'columns' | 'rows' = 'start'
   private columnCount = 0
   private columns: Buffer[] = []
 
   private constructor (private readonly sql: string, private readonly sink: QuerySink) {}
 
-  static of (sql: string, sink: QuerySink): RawQuery {
-    return new RawQuery(sql, sink)
+  static of (sql: string, sink: QuerySink): QueryCommand {
+    return new QueryCommand(sql, sink)
   }
 
   /** Called by mysql2 for each packet; true ends the command. */
-  execute (packet: Incoming | undefined, wire: Wire): boolean {
+  execute (packet: IncomingPacket | undefined, wire: Wire): boolean {
     if (packet === undefined) return this.start(wire)
-    if (packet.isError()) return this.fail(packet)
+    if (packet.isError()) return this.handleError(packet)
     switch (this.state) {
       case 'start': return false
-      case 'header': return this.header(packet, wire)
-      case 'columns': return this.column(packet)
-      case 'rows': return this.row(packet, wire)
+      case 'header': return this.handleHeader(packet, wire)
+      case 'columns': return this.handleColumn(packet)
+      case 'rows': return this.handleRow(packet, wire)
     }
   }
 
   /** Called by mysql2 when the connection is lost before the command ended. */
   onResult (err: Error): void {
-    this.sink.lost(err)
+    this.sink.connectionLost(err)
   }
 
   private start (wire: Wire): boolean {
@@ -52,41 +52,41 @@
     return false
   }
 
-  private fail (packet: Incoming): boolean {
+  private handleError (packet: IncomingPacket): boolean {
     const err = packet.asError('utf8')
     this.sink.error(err.errno, err.message)
     return true
   }
 
-  private header (packet: Incoming, wire: Wire): boolean {
+  private handleHeader (packet: IncomingPacket, wire: Wire): boolean {
     const first = packet.peekByte()
     if (first === 0) {
-      const ok = readable(() => OkPacket.read(packet))
-      if (ok instanceof Error) return this.giveUp(ok, wire)
-      if ((ok.status & MORE_RESULTS) !== 0) return this.refuseMore(wire)
+      const ok = tryRead(() => OkPacket.read(packet))
+      if (ok instanceof Error) return this.abort(ok, wire)
+      if ((ok.status & MORE_RESULTS) !== 0) return this.rejectMultipleResults(wire)
       this.sink.ok(ok)
       return true
     }
     if (first === LOCAL_INFILE) {
-      this.sink.lost(new Error('the endpoint asked for a local file, which a proxy never sends'))
+      this.sink.connectionLost(new Error('the endpoint asked for a local file, which a proxy never sends'))
       wire.destroy()
       return true
     }
-    const count = readable(() => packet.readLengthCodedNumber() ?? 0)
-    if (count instanceof Error) return this.giveUp(count, wire)
+    const count = tryRead(() => packet.readLengthCodedNumber() ?? 0)
+    if (count instanceof Error) return this.abort(count, wire)
     this.columnCount = count
     this.columns = []
     this.state = 'columns'
     return false
   }
 
-  private giveUp (err: Error, wire: Wire): boolean {
-    this.sink.lost(err)
+  private abort (err: Error, wire: Wire): boolean {
+    this.sink.connectionLost(err)
     wire.destroy()
     return true
   }
 
-  private column (packet: Incoming): boolean {
+  private handleColumn (packet: IncomingPacket): boolean {
     if (this.columns.length < this.columnCount) {
       this.columns.push(payloadOf(packet))
       return false
@@ -96,27 +96,27 @@
     return false
   }
 
-  private row (packet: Incoming, wire: Wire): boolean {
+  private handleRow (packet: IncomingPacket, wire: Wire): boolean {
     if (!packet.isEOF()) {
       this.sink.row(payloadOf(packet))
       return false
     }
     const status = packet.eofStatusFlags()
-    if ((status & MORE_RESULTS) !== 0) return this.refuseMore(wire)
+    if ((status & MORE_RESULTS) !== 0) return this.rejectMultipleResults(wire)
     this.sink.end(status)
     return true
   }
 
   /** A second result can't be told from the answer to the next statement once the first was relayed. */
-  private refuseMore (wire: Wire): boolean {
-    this.sink.lost(new Error('a statement with more than one result is not supported; call it for one result at a time'))
+  private rejectMultipleResults (wire: Wire): boolean {
+    this.sink.connectionLost(new Error('a statement with more than one result is not supported; call it for one result at a time'))
     wire.destroy()
     return true
   }
 }
 
 /** Against an endpoint that sends what can't be read: an error thrown to mysql2's reader would end the process. */
-function readable<T> (read: () => T): T | Error {
+function tryRead<T> (read: () => T): T | Error {
   try {
     return read()
   } catch (err) {
--- a/src/shell/mysql/querysink.ts
+++ b/src/shell/mysql/querysink.ts
@@ -15,5 +15,5 @@
   /** The endpoint refused the statement, or broke off its result, with a MySQL error. */
   error (code: number, message: string): void
   /** The connection was lost; whether the statement ran isn't known from here. */
-  lost (err: Error): void
+  connectionLost (err: Error): void
 }
--- a/src/shell/mysql/packet.ts
+++ b/src/shell/mysql/rawpacket.ts
@@ -1,29 +1,29 @@
 /** A packet with a ready payload, in the form that a mysql2 connection writes. */
 
-const HEADER = 4
+const HEADER_BYTES = 4
 
 /** Lets mysql2 write bytes that another MySQL peer made, without decoding them. */
 export class RawPacket {
   private constructor (readonly buffer: Buffer) {}
 
   static of (payload: Uint8Array): RawPacket {
-    const buffer = Buffer.allocUnsafe(payload.length + HEADER)
-    buffer.set(payload, HEADER)
+    const buffer = Buffer.allocUnsafe(payload.length + HEADER_BYTES)
+    buffer.set(payload, HEADER_BYTES)
     return new RawPacket(buffer)
   }
 
   /** A command packet of the client side: the command's byte and its text. */
   static command (code: number, text: string): RawPacket {
     const size = Buffer.byteLength(text)
-    const buffer = Buffer.allocUnsafe(HEADER + 1 + size)
-    buffer[HEADER] = code
-    buffer.write(text, HEADER + 1)
+    const buffer = Buffer.allocUnsafe(HEADER_BYTES + 1 + size)
+    buffer[HEADER_BYTES] = code
+    buffer.write(text, HEADER_BYTES + 1)
     return new RawPacket(buffer)
   }
 
   /** The name mysql2 calls; the length of the payload. */
   length (): number {
-    return this.buffer.length - HEADER
+    return this.buffer.length - HEADER_BYTES
   }
 
   writeHeader (sequenceId: number): void {
--- a/src/shell/mysql/reply.ts
+++ b/src/shell/mysql/reply.ts
@@ -1,13 +1,13 @@
 /** Writes the answer to one command of a MySQL client. */
 
-import { RawPacket } from './packet.ts'
+import { RawPacket } from './rawpacket.ts'
 import type { Wire } from './wire.ts'
 
 const AUTOCOMMIT = 2
 const IN_TRANSACTION = 1
 
 /** The definition of a parameter: catalog `def`, no names, a string of any length. */
-const PARAMETER = Buffer.from([3, 0x64, 0x65, 0x66, 0, 0, 0, 1, 0x3f, 0, 12, 45, 0, 255, 255, 0, 0, 253, 0, 0, 0, 0, 0])
+const PARAMETER_DEFINITION = Buffer.from([3, 0x64, 0x65, 0x66, 0, 0, 0, 1, 0x3f, 0, 12, 45, 0, 255, 255, 0, 0, 253, 0, 0, 0, 0, 0])
 
 /** The answer to one command. After `ok`, `end` or `error` nothing more is written. */
 export class Reply {
@@ -70,7 +70,7 @@
   }
 
   /** Resolves when the client has taken what was written, or is gone. */
-  async drained (): Promise<void> {
+  async waitForDrain (): Promise<void> {
     const { stream } = this.wire
     if (!stream.writableNeedDrain || stream.destroyed) return
     this.draining ??= new Promise<void>(resolve => {
@@ -87,13 +87,13 @@
   }
 
   /** The answer to COM_STMT_PREPARE. Columns are told with the result, once an endpoint has run it. */
-  prepared (id: number, parameters: number): void {
+  prepareOk (id: number, parameters: number): void {
     if (this.isOver) return
     const header = Buffer.alloc(12)
     header.writeUInt32LE(id, 1)
     header.writeUInt16LE(parameters, 7)
     this.wire.writePacket(RawPacket.of(header))
-    for (let i = 0; i < parameters; i++) this.wire.writePacket(RawPacket.of(PARAMETER))
+    for (let i = 0; i < parameters; i++) this.wire.writePacket(RawPacket.of(PARAMETER_DEFINITION))
     if (parameters > 0) this.wire.writeEof(0, AUTOCOMMIT)
     this.finish()
   }
--- a/src/shell/mysql/resetcommand.ts
+++ b/src/shell/mysql/resetcommand.ts
@@ -1,9 +1,9 @@
 /** COM_RESET_CONNECTION on an endpoint's connection. */
 
-import { RawPacket } from './packet.ts'
+import { RawPacket } from './rawpacket.ts'
 import type { Wire } from './wire.ts'
 
-type Incoming = NonNullable<Parameters<Parameters<Wire['addCommand']>[0]['execute']>[0]>
+type IncomingPacket = NonNullable<Parameters<Parameters<Wire['addCommand']>[0]['execute']>[0]>
 
 const COM_RESET_CONNECTION = 31
 
@@ -17,7 +17,7 @@
     return new ResetCommand(settle)
   }
 
-  execute (packet: Incoming | undefined, wire: Wire): boolean {
+  execute (packet: IncomingPacket | undefined, wire: Wire): boolean {
     if (packet === undefined || !this.hasStarted) {
       this.hasStarted = true
       wire.sequenceId = 0
--- a/src/shell/mysql/server.ts
+++ b/src/shell/mysql/server.ts
@@ -2,10 +2,10 @@
 
 import type { Server } from 'node:net'
 import mysql from 'mysql2'
-import type { Handler } from './handler.ts'
+import type { CommandHandler } from './commandhandler.ts'
 import type { Login } from './login.ts'
 import { payloadOf } from './payload.ts'
-import { provesPassword } from './proof.ts'
+import { isNativePassword } from './nativepassword.ts'
 import { Reply } from './reply.ts'
 import type { Wire } from './wire.ts'
 
@@ -15,10 +15,10 @@
   /** Whether OK packets may carry session state; endpoints send positions in it. */
   readonly tracksSession: boolean
   /** Yields the handler of a connection, or the error that refuses it. */
-  readonly accept: (login: Login) => Promise<Handler | Refusal>
+  readonly accept: (login: Login) => Promise<CommandHandler | LoginError>
 }
 
-interface Refusal {
+interface LoginError {
   readonly code: number
   readonly message: string
 }
@@ -37,12 +37,12 @@
   ResetConnection = 31
 }
 
-const UNKNOWN_COMMAND = 1047
+const ER_UNKNOWN_COMMAND = 1047
 /** Bytes of one packet: of a login, and of a command, as MySQL's default `max_allowed_packet` has it. */
-const MOST_LOGIN_BYTES = 64 * 1024
-const MOST_COMMAND_BYTES = 64 * 1024 * 1024
+const MAX_LOGIN_BYTES = 64 * 1024
+const MAX_COMMAND_BYTES = 64 * 1024 * 1024
 /** A client that hasn't signed in by then is closed. */
-const LOGIN_MS = 10_000
+const LOGIN_TIMEOUT_MS = 10_000
 const PROTOCOL_VERSION = 10
 const UTF8MB4 = 45
 /** LONG_PASSWORD, FOUND_ROWS, LONG_FLAG, CONNECT_WITH_DB, PROTOCOL_41, TRANSACTIONS, SECURE_CONNECTION, PLUGIN_AUTH, CONNECT_ATTRS. */
@@ -104,12 +104,12 @@
 
 /** One client's connection: signs it in, then hands its commands on one at a time. */
 class Connection {
-  private handler: Handler | undefined
+  private handler: CommandHandler | undefined
   private readonly waiting: Buffer[] = []
   private isBusy = false
   private hasLogin = false
   /** Bytes that arrived since the last whole packet. */
-  private pending = 0
+  private pendingBytes = 0
 
   private constructor (private readonly wire: Wire) {}
 
@@ -126,14 +126,14 @@
       statusFlags: 2,
       characterSet: UTF8MB4,
       capabilityFlags: CAPABILITIES | (options.tracksSession ? SESSION_TRACK : 0),
-      authCallback: (login: AuthData, done: (err: null, refusal?: object) => void) => it.login(login, options, done)
+      authCallback: (login: LoginData, done: (err: null, refusal?: object) => void) => it.login(login, options, done)
     })
     const handshake = wire._command!
     wire._command = {
       execute: (packet, same) => {
-        it.pending = 0
+        it.pendingBytes = 0
         if (it.handler !== undefined) {
-          it.take(payloadOf(packet!))
+          it.enqueue(payloadOf(packet!))
         } else if (it.hasLogin) {
           // A command before the answer to the login: nobody has signed in yet.
           wire.stream.destroy()
@@ -144,8 +144,8 @@
         return false
       }
     }
-    wire.stream.prependListener('data', (chunk: Buffer) => it.limit(chunk.length))
-    const timer = setTimeout(() => { if (it.handler === undefined) wire.stream.destroy() }, LOGIN_MS)
+    wire.stream.prependListener('data', (chunk: Buffer) => it.limitPacketSize(chunk.length))
+    const timer = setTimeout(() => { if (it.handler === undefined) wire.stream.destroy() }, LOGIN_TIMEOUT_MS)
     wire.stream.once('close', () => clearTimeout(timer))
     return it
   }
@@ -155,10 +155,10 @@
    * client that announces a huge packet, or a command without end, and fills
    * the process's memory, before it has even signed in.
    */
-  private limit (bytes: number): void {
-    this.pending += bytes
-    const most = this.handler === undefined ? MOST_LOGIN_BYTES : MOST_COMMAND_BYTES
-    if (this.pending > most) this.wire.stream.destroy()
+  private limitPacketSize (bytes: number): void {
+    this.pendingBytes += bytes
+    const most = this.handler === undefined ? MAX_LOGIN_BYTES : MAX_COMMAND_BYTES
+    if (this.pendingBytes > most) this.wire.stream.destroy()
   }
 
   closed (): void {
@@ -166,15 +166,15 @@
     this.waiting.length = 0
   }
 
-  private login (data: AuthData, options: Options, done: (err: null, refusal?: object) => void): void {
+  private login (data: LoginData, options: Options, done: (err: null, refusal?: object) => void): void {
     const scramble = Buffer.concat([data.authPluginData1, data.authPluginData2])
     const accepted = options.accept({
       user: data.user,
       database: data.database ?? '',
       attributes: this.wire.clientHelloReply?.connectAttributes ?? {},
       address: data.address,
-      proves: passwordHash => provesPassword(data.authToken, scramble, passwordHash),
-      hangUp: () => this.wire.stream.end()
+      verifyPassword: passwordHash => isNativePassword(data.authToken, scramble, passwordHash),
+      closeConnection: () => this.wire.stream.end()
     })
     accepted.then(answer => {
       if (this.wire.stream.destroyed) return 'code' in answer ? undefined : answer.closed()
@@ -185,7 +185,7 @@
     }, () => this.wire.stream.destroy())
   }
 
-  private take (payload: Buffer): void {
+  private enqueue (payload: Buffer): void {
     if (this.isBusy) {
       this.waiting.push(payload)
       this.wire.stream.pause()
@@ -204,7 +204,7 @@
     }
     this.isBusy = false
     const next = this.waiting.shift()
-    if (next !== undefined) return this.take(next)
+    if (next !== undefined) return this.enqueue(next)
     this.wire.stream.resume()
   }
 
@@ -217,7 +217,7 @@
       case Command.Quit:
         wire.stream.end()
         return
-      case Command.CloseStatement: return handler.forget(body.length < 4 ? 0 : body.readUInt32LE(0))
+      case Command.CloseStatement: return handler.closeStatement(body.length < 4 ? 0 : body.readUInt32LE(0))
       case Command.Query: return await handler.query(body.toString('utf8'), Reply.of(wire))
       case Command.InitDb: return await handler.use(body.toString('utf8'), Reply.of(wire))
       case Command.Prepare: return await handler.prepare(body.toString('utf8'), Reply.of(wire))
@@ -230,12 +230,12 @@
       case Command.Ping:
       case Command.ResetStatement: return Reply.of(wire).ok()
       case Command.SetOption: return Reply.of(wire).end()
-      default: return Reply.of(wire).error(UNKNOWN_COMMAND, `command ${command} isn't supported by this proxy`)
+      default: return Reply.of(wire).error(ER_UNKNOWN_COMMAND, `command ${command} isn't supported by this proxy`)
     }
   }
 }
 
-interface AuthData {
+interface LoginData {
   readonly user: string
   readonly database?: string
   readonly address: string
--- a/src/shell/mysql/wire.ts
+++ b/src/shell/mysql/wire.ts
@@ -2,10 +2,10 @@
 
 import type { Socket } from 'node:net'
 import type { EventEmitter } from 'node:events'
-import type { RawPacket } from './packet.ts'
+import type { RawPacket } from './rawpacket.ts'
 
 /** A packet that arrived, as mysql2 parses it. Payload bytes are `buffer[start + 4 … end)`. */
-interface Incoming {
+interface IncomingPacket {
   readonly buffer: Buffer
   readonly start: number
   readonly end: number
@@ -23,15 +23,15 @@
   peekByte (): number
 }
 
-interface Handshake {
-  execute (packet: Incoming | undefined, wire: Wire): boolean
+interface Command {
+  execute (packet: IncomingPacket | undefined, wire: Wire): boolean
 }
 
 /** One side's connection. `addCommand` takes anything with `execute`, called for each packet until it returns true. */
 export interface Wire extends EventEmitter {
   readonly stream: Socket
   sequenceId: number
-  _command: Handshake | null
+  _command: Command | null
   /** Statements that this side has prepared at the other. */
   _statements?: unknown
   readonly clientHelloReply?: {
@@ -39,7 +39,7 @@
     readonly database?: string
     readonly connectAttributes?: Readonly<Record<string, string>>
   }
-  addCommand (command: { execute: (packet: Incoming | undefined, wire: Wire) => boolean }): void
+  addCommand (command: { execute: (packet: IncomingPacket | undefined, wire: Wire) => boolean }): void
   writePacket (packet: RawPacket): void
   writeOk (args?: { affectedRows?: number, insertId?: number, serverStatus?: number, message?: string }): void
   writeError (args: { code: number, message: string }): void
--- a/src/shell/node/callerconnections.ts
+++ b/src/shell/node/callerconnections.ts
@@ -1,7 +1,7 @@
 /** The callers' connections of this process, and their closing when it leaves. */
 
 import type { Instant } from '../../core/id/instant.ts'
-import type { Handler } from '../mysql/handler.ts'
+import type { CommandHandler } from '../mysql/commandhandler.ts'
 import { DrainableHandler } from './drainablehandler.ts'
 
 type DrainTimings = Parameters<typeof DrainableHandler.before>[0]['timings']
@@ -25,7 +25,7 @@
   }
 
   /** The handler to use in place of the caller's own. `onClosed` is called when the caller is gone. */
-  wrap (handler: Handler, hangUp: () => void, onClosed: () => void): Handler {
+  wrap (handler: CommandHandler, hangUp: () => void, onClosed: () => void): CommandHandler {
     const gate = DrainableHandler.before({
       handler,
       hangUp,
--- a/src/shell/node/drainablehandler.test.ts
+++ b/src/shell/node/drainablehandler.test.ts
@@ -2,7 +2,7 @@
 
 import { describe, expect, it } from 'vitest'
 import type { Instant } from '../../core/id/instant.ts'
-import type { Handler } from '../mysql/handler.ts'
+import type { CommandHandler } from '../mysql/commandhandler.ts'
 import type { Reply } from '../mysql/reply.ts'
 import { DrainableHandler } from './drainablehandler.ts'
 
@@ -13,7 +13,7 @@
     const ran: string[] = []
     let now = 0
     let isClosed = false
-    const handler = { query: async (sql: string) => { ran.push(sql) } } as unknown as Handler
+    const handler = { query: async (sql: string) => { ran.push(sql) } } as unknown as CommandHandler
     const gate = DrainableHandler.before({
       handler,
       timings: { transactionsMs: 10_000, callersMs: 5000, idleMs: 500, pauseMs: 20 },
--- a/src/shell/node/drainablehandler.ts
+++ b/src/shell/node/drainablehandler.ts
@@ -2,13 +2,13 @@
 
 import type { Instant } from '../../core/id/instant.ts'
 import { decideClosing } from '../../core/membership/closing.ts'
-import type { Handler } from '../mysql/handler.ts'
+import type { CommandHandler } from '../mysql/commandhandler.ts'
 import type { Reply } from '../mysql/reply.ts'
 
 type DrainTimings = Parameters<typeof decideClosing>[1]
 
 interface Options {
-  readonly handler: Handler
+  readonly handler: CommandHandler
   readonly timings: DrainTimings
   readonly now: () => Instant
   /** When this process began to leave; undefined while it stays. */
@@ -20,7 +20,7 @@
 const ER_SERVER_SHUTDOWN = 1053
 const REFUSAL = 'not run: this proxy is leaving; connect again and send the request again'
 
-export class DrainableHandler implements Handler {
+export class DrainableHandler implements CommandHandler {
   private isBusy = false
   private hasHungUp = false
   private answeredAt: Instant
@@ -63,8 +63,8 @@
     await this.handle(reply, async () => await this.options.handler.reset(reply))
   }
 
-  forget (statement: number): void {
-    this.options.handler.forget(statement)
+  closeStatement (statement: number): void {
+    this.options.handler.closeStatement(statement)
   }
 
   closed (): void {
--- a/src/shell/node/node.ts
+++ b/src/shell/node/node.ts
@@ -21,7 +21,7 @@
 import { ConfigStore } from '../config/store.ts'
 import { Log } from '../log/log.ts'
 import { Metrics } from '../metrics/metrics.ts'
-import type { Handler } from '../mysql/handler.ts'
+import type { CommandHandler } from '../mysql/commandhandler.ts'
 import type { Login } from '../mysql/login.ts'
 import { MysqlServer } from '../mysql/server.ts'
 import { refusal } from '../peer/refusal.ts'
@@ -177,13 +177,13 @@
    * to their slot owners may be opened only now, so the sign-in waits for
    * them; else the first request would be refused for want of a known primary.
    */
-  private async wrapHandler (handler: Handler, login: Login): Promise<Handler> {
+  private async wrapHandler (handler: CommandHandler, login: Login): Promise<CommandHandler> {
     const closed = new AbortController()
     const pools = this.configs?.config?.pools.filter(pool => pool.callers.some(caller => caller.id === login.user)) ?? []
     const ids = pools.flatMap(pool => pool.groups)
     this.slots.useGroups(ids, closed.signal)
     await this.knownPrimaries.wait(ids, this.settings.requests.deadline)
-    return this.callers.wrap(handler, () => login.hangUp(), () => closed.abort())
+    return this.callers.wrap(handler, () => login.closeConnection(), () => closed.abort())
   }
 
   /** What this process's peers may ask of it: its own slots only, never a further hop. */
--- a/standin/endpoint/session.ts
+++ b/standin/endpoint/session.ts
@@ -4,7 +4,7 @@
 import { statementKind } from '../../src/core/routing/statementkind.ts'
 import { skipLeadingTrivia } from '../../src/core/routing/trivia.ts'
 import { Token } from '../../src/core/token.ts'
-import type { Handler } from '../../src/shell/mysql/handler.ts'
+import type { CommandHandler } from '../../src/shell/mysql/commandhandler.ts'
 import { OkPacket } from '../../src/shell/mysql/okpacket.ts'
 import type { Reply } from '../../src/shell/mysql/reply.ts'
 import { encodeResult } from './columns.ts'
@@ -33,7 +33,7 @@
 }
 
 /** Handles the commands of one connection. */
-export class EndpointSession implements Handler {
+export class EndpointSession implements CommandHandler {
   private open: string[] | undefined
 
   private constructor (private readonly context: Context) {}
@@ -72,7 +72,7 @@
     reply.ok()
   }
 
-  forget (): void {}
+  closeStatement (): void {}
 
   /** A statement that runs now ends inside of its transaction, which is then forgotten with this session. */
   closed (): void {
--- a/test/callersprotocol.test.ts
+++ b/test/callersprotocol.test.ts
@@ -8,10 +8,10 @@
 import { create } from '@bufbuild/protobuf'
 import { DoneSchema, Done_Outcome as DoneOutcome } from '../src/gen/peer_pb.ts'
 import { relay } from '../src/shell/caller/relay.ts'
-import type { Handler } from '../src/shell/mysql/handler.ts'
+import type { CommandHandler } from '../src/shell/mysql/commandhandler.ts'
 import type { Reply } from '../src/shell/mysql/reply.ts'
 import { MysqlServer } from '../src/shell/mysql/server.ts'
-import { PreparedStatement } from '../src/shell/mysql/statement.ts'
+import { PreparedStatement } from '../src/shell/mysql/preparedstatement.ts'
 import type { SlotPort } from '../src/shell/peer/slotport.ts'
 import { freePorts } from '../standin/ports.ts'
 
@@ -75,7 +75,7 @@
   } as SlotPort
 }
 
-class TestHandler implements Handler {
+class TestHandler implements CommandHandler {
   readonly gone = new AbortController()
   lastSql = ''
   private statement = PreparedStatement.of(1, '')
@@ -94,7 +94,7 @@
 
   async prepare (sql: string, reply: Reply): Promise<void> {
     this.statement = PreparedStatement.of(1, sql)
-    reply.prepared(1, this.statement.parameters)
+    reply.prepareOk(1, this.statement.parameterCount)
   }
 
   async execute (payload: Buffer, reply: Reply): Promise<void> {
@@ -104,7 +104,7 @@
   }
 
   async reset (reply: Reply): Promise<void> { reply.ok() }
-  forget (): void {}
+  closeStatement (): void {}
   closed (): void { this.gone.abort() }
 
   private readonly onGone = (cancel: () => void): void => this.gone.signal.addEventListener('abort', cancel, { once: true })
@@ -137,7 +137,7 @@
       port,
       tracksSession: false,
       accept: async login => {
-        login.proves(HASH)
+        login.verifyPassword(HASH)
         return login.user === 'app' ? new TestHandler() : { code: 1045, message: 'Access denied' }
       }
     }, stop.signal)
--- a/test/fuzz.test.ts
+++ b/test/fuzz.test.ts
@@ -16,10 +16,10 @@
 import { parseSettings } from '../src/core/settings/settings.ts'
 import { Token } from '../src/core/token.ts'
 import { BatchSchema } from '../src/gen/peer_pb.ts'
-import { BinaryRows } from '../src/shell/mysql/binaryrow.ts'
+import { BinaryRowEncoder } from '../src/shell/mysql/binaryrowencoder.ts'
 import { OkPacket } from '../src/shell/mysql/okpacket.ts'
-import { RawQuery } from '../src/shell/mysql/query.ts'
-import { PreparedStatement } from '../src/shell/mysql/statement.ts'
+import { QueryCommand } from '../src/shell/mysql/querycommand.ts'
+import { PreparedStatement } from '../src/shell/mysql/preparedstatement.ts'
 
 type Incoming = Parameters<typeof OkPacket.read>[0]
 
@@ -67,15 +67,15 @@
     ['a statement', sql, (text: string) => { statementKind(text) }],
     ['parameters', sql, (text: string) => { findPlaceholders(text) }],
     ['values of a prepared statement', fc.tuple(sql, bytes), ([text, payload]: [string, Buffer]) => only([RangeError], () => PreparedStatement.of(1, `?${text}`).bind(payload))],
-    ['rows', fc.tuple(fc.array(bytes, { maxLength: 3 }), bytes), ([columns, row]: [Buffer[], Buffer]) => only([RangeError], () => BinaryRows.of(columns).encode(row))],
+    ['rows', fc.tuple(fc.array(bytes, { maxLength: 3 }), bytes), ([columns, row]: [Buffer[], Buffer]) => only([RangeError], () => BinaryRowEncoder.of(columns).encode(row))],
     ['rows of each type', fc.tuple(fc.integer({ min: 0, max: 20 }), fc.string({ maxLength: 30 })), ([type, text]: [number, string]) =>
-      only([RangeError], () => BinaryRows.of([Buffer.from([0, 0, 0, 0, 0, 0, 12, 0, 0, 0, 0, 0, 0, type])]).encode(Buffer.concat([Buffer.from([Buffer.byteLength(text)]), Buffer.from(text)])))],
+      only([RangeError], () => BinaryRowEncoder.of([Buffer.from([0, 0, 0, 0, 0, 0, 12, 0, 0, 0, 0, 0, 0, type])]).encode(Buffer.concat([Buffer.from([Buffer.byteLength(text)]), Buffer.from(text)])))],
     ['an OK packet', bytes, (payload: Buffer) => only([RangeError], () => OkPacket.read(new Packet(0, payload, 0, payload.length)))],
     ['answers of an endpoint', fc.array(fc.oneof(bytes.map(rest => Buffer.concat([Buffer.from([0]), rest])), bytes.filter(one => one.length > 0)), { maxLength: 4 }), (payloads: Buffer[]) => {
       const calls: string[] = []
       const call = (name: string) => () => { calls.push(name) }
-      const query = RawQuery.of('SELECT 1', { head: call('head'), row: call('row'), ok: call('last'), end: call('last'), error: call('last'), lost: call('last') })
-      const wire = { writePacket: () => undefined, destroy: () => undefined } as unknown as Parameters<RawQuery['execute']>[1]
+      const query = QueryCommand.of('SELECT 1', { head: call('head'), row: call('row'), ok: call('last'), end: call('last'), error: call('last'), connectionLost: call('last') })
+      const wire = { writePacket: () => undefined, destroy: () => undefined } as unknown as Parameters<QueryCommand['execute']>[1]
       query.execute(undefined, wire)
       // Packets begin after a header of four bytes, as on a connection.
       const ended = payloads.some(payload => query.execute(new Packet(0, Buffer.concat([Buffer.alloc(4), payload]), 0, payload.length + 4), wire))
