--- a/bench/group/model.ts
+++ b/bench/group/model.ts
@@ -188,7 +188,7 @@
       endpoints: this.listed,
       primary: this.listed[PRIMARY]!.id,
       dataCentre: `z${hostAt % DATA_CENTRES}` as DataCentreId,
-      standing: (id: EndpointId) => host.standings[indexOf(id)]!,
+      logState: (id: EndpointId) => host.standings[indexOf(id)]!,
       needsNewConnection: () => false,
       queued: (id: EndpointId) => host.queued(indexOf(id)),
       isReachable: (id: EndpointId) => indexOf(id) === PRIMARY || Number.isFinite(this.load.lagMs(now))
@@ -198,9 +198,9 @@
       return { at, waitMs: 0 }
     }
     host.reads.evaluateHealth(view, now)
-    const mayHold = (id: EndpointId) => view.standing(id).mayContain(bound, now)
+    const mayHold = (id: EndpointId) => view.logState(id).mayContain(bound, now)
     const triedIds = new Set([...tried].map(at => this.listed[at]!.id))
-    const placed = host.reads.place({ ...view, mayContain: mayHold, progress: host.progress, leftMs: STATEMENT_MS }, bound, triedIds, { now, age: now }, () => this.chance())
+    const placed = host.reads.place({ ...view, mayContain: mayHold, progress: host.progress, remainingMs: STATEMENT_MS }, bound, triedIds, { now, age: now }, () => this.chance())
     return placed === undefined ? { at: PRIMARY, waitMs: 0 } : { at: indexOf(placed.endpoint), waitMs: placed.waitMs }
   }
 
--- a/bench/placement.ts
+++ b/bench/placement.ts
@@ -31,7 +31,7 @@
     const moved = first.allEndpoints.filter(endpoint => !same(first.assignedHosts(endpoint), duties.assignedHosts(endpoint)))
     return {
       'slots of the node': first.endpoints.length,
-      'links of the node without callers': requiredPeers({ duties: first, held: first.endpoints, groups: [], holders: () => [] }).size,
+      'links of the node without callers': requiredPeers({ assignments: first, held: first.endpoints, groups: [], holders: () => [] }).size,
       'endpoints worked out again for a change': moved.length,
       'first placement, ms': firstMs,
       'a change of hosts, ms': changeMs
--- a/src/core/membership/requiredpeers.ts
+++ b/src/core/membership/requiredpeers.ts
@@ -10,7 +10,7 @@
 import type { SlotAssignments } from './slotassignments.ts'
 
 interface PeerUsage {
-  readonly duties: SlotAssignments
+  readonly assignments: SlotAssignments
   /** Endpoints of which it holds a slot. */
   readonly held: readonly EndpointId[]
   /** Groups that its callers use. */
@@ -19,7 +19,7 @@
   readonly holders: (endpoint: EndpointId) => readonly HostId[]
 }
 
-export function requiredPeers ({ duties, held, groups, holders }: PeerUsage): Set<HostId> {
+export function requiredPeers ({ assignments: duties, held, groups, holders }: PeerUsage): Set<HostId> {
   const used = new Set(groups)
   for (const endpoint of [...held, ...duties.endpoints]) {
     const group = duties.group(endpoint)
--- a/src/core/pool/reads/candidates.test.ts
+++ b/src/core/pool/reads/candidates.test.ts
@@ -24,7 +24,7 @@
     })),
     primary: primary as EndpointId,
     dataCentre: '1' as DataCentreId,
-    standing: id => has(id, '~') ? LogState.unknown.withRefusal(NOW) : LogState.unknown,
+    logState: id => has(id, '~') ? LogState.unknown.withRefusal(NOW) : LogState.unknown,
     queued: id => has(id, 'q') ? 3 : 0,
     needsNewConnection: id => has(id, 'o'),
     isReachable: id => !has(id, 'x')
--- a/src/core/pool/reads/candidates.ts
+++ b/src/core/pool/reads/candidates.ts
@@ -11,7 +11,7 @@
   readonly endpoints: readonly Endpoint[]
   readonly primary: EndpointId | undefined
   readonly dataCentre: DataCentreId
-  readonly standing: (id: EndpointId) => LogState
+  readonly logState: (id: EndpointId) => LogState
   /** Operations that wait for a connection to the endpoint, plus one if no connection is free. */
   readonly queued: (id: EndpointId) => number
   /** Whether a new connection would have to be opened, since the idle ones serve other teams. */
@@ -37,7 +37,7 @@
   const usable = view.endpoints.filter(({ id, isLeaving }) => (!isLeaving || id === view.primary) && view.isReachable(id))
   const weighted = usable
     .map(endpoint => ({ id: endpoint.id, isPrimary: endpoint.id === view.primary, cost: costOf(view, endpoint) }))
-    .filter(({ id, isPrimary }) => isPrimary || view.standing(id).mayContain(position, now))
+    .filter(({ id, isPrimary }) => isPrimary || view.logState(id).mayContain(position, now))
   return weighted.sort((a, b) => a.cost - b.cost).map(({ id }) => id)
 }
 
--- a/src/core/pool/reads/readbalancer.test.ts
+++ b/src/core/pool/reads/readbalancer.test.ts
@@ -36,7 +36,7 @@
     const endpoints = IDS.map(id => ({
       id: id as string as EndpointId, group: 'g' as GroupId, address: { ip: '10.0.0.1', port: 1 }, dataCentre: 'z' as DataCentreId, isLeaving: healthOf(id, owner, now) === 'leaving', isPrimary: id === 'a', places: 5
     }))
-    const view = { endpoints, primary: 'a' as EndpointId, dataCentre: 'z' as DataCentreId, progress: LogProgress.empty, leftMs: 1000, queued: () => 0, needsNewConnection: () => false, isReachable: () => true, mayContain: () => true }
+    const view = { endpoints, primary: 'a' as EndpointId, dataCentre: 'z' as DataCentreId, progress: LogProgress.empty, remainingMs: 1000, queued: () => 0, needsNewConnection: () => false, isReachable: () => true, mayContain: () => true }
     owners[owner]!.evaluateHealth(view, now as Instant)
     const { endpoint } = owners[owner]!.place(view, Token.zero, new Set(), { now: now as Instant, age: now as Instant }, chance)!
     const health = healthOf(endpoint, owner, now)
--- a/src/core/pool/reads/readbalancer.ts
+++ b/src/core/pool/reads/readbalancer.ts
@@ -18,7 +18,7 @@
   readonly dataCentre: DataCentreId
   readonly progress: LogProgress
   /** Until the read's deadline. */
-  readonly leftMs: number
+  readonly remainingMs: number
   /** Operations of this owner that wait for a connection or a place there. */
   readonly queued: (id: EndpointId) => number
   readonly needsNewConnection: (id: EndpointId) => boolean
@@ -104,7 +104,7 @@
       const isPrimary = id === primary
       const mayServe = view.isReachable(id) && (isPrimary || (!endpoint.isLeaving && view.mayContain(id)))
       const waitMs = isPrimary ? 0 : this.lag(id).waitMs(position, progress.reachedAt(position), age)
-      if (!mayServe || waitMs === undefined || waitMs >= view.leftMs) return []
+      if (!mayServe || waitMs === undefined || waitMs >= view.remainingMs) return []
       const others = this.othersLoad.at(id, now)
       const responses = this.health.responses(id)
       return [{
--- a/src/shell/node/slots.ts
+++ b/src/shell/node/slots.ts
@@ -179,7 +179,7 @@
   private updateLinks (): void {
     const now = this.options.now()
     const wanted = requiredPeers({
-      duties: this.assignments,
+      assignments: this.assignments,
       held: [...this.held.keys()],
       groups: this.config?.groups.filter(group => this.usedGroups.has(group.id)) ?? [],
       holders: endpoint => this.peers.members.holders(endpoint, now)
--- a/src/shell/pool/group.ts
+++ b/src/shell/pool/group.ts
@@ -321,7 +321,7 @@
       primary: this.leader,
       progress: this.progress,
       isShared: this.share.hasSpareConnections,
-      standing: id => this.logState(id),
+      logState: id => this.logState(id),
       connectionPool: id => this.connectionPools.get(id),
       isReachable: id => !this.reachability(id).isUnreachable(now)
     }
--- a/src/shell/pool/readrouter.ts
+++ b/src/shell/pool/readrouter.ts
@@ -34,7 +34,7 @@
   readonly progress: LogProgress
   /** Whether the group has assigned owners and this host is one. */
   readonly isShared: boolean
-  readonly standing: (id: EndpointId) => LogState
+  readonly logState: (id: EndpointId) => LogState
   readonly connectionPool: (id: EndpointId) => ConnectionPool | undefined
   readonly isReachable: (id: EndpointId) => boolean
 }
@@ -76,10 +76,10 @@
     const all = {
       ...view,
       dataCentre: this.options.dataCentre,
-      leftMs: remainingMs,
+      remainingMs,
       queued: (id: EndpointId) => view.connectionPool(id)?.queued ?? 0,
       needsNewConnection: (id: EndpointId) => team !== undefined && view.connectionPool(id)?.hasIdle(team) !== true,
-      mayContain: (id: EndpointId) => view.standing(id).mayContain(position, now)
+      mayContain: (id: EndpointId) => view.logState(id).mayContain(position, now)
     }
     if (!view.isShared || !ReadBalancer.isSupported(view.endpoints)) {
       const endpoint = readCandidates(all, position, now).find(id => !tried.has(id))
