--- a/src/shell/audit/audit.ts
+++ b/src/shell/audit/audit.ts
@@ -1,4 +1,4 @@
-/** Where the path of a request reports what it does, so that it can be explained afterwards. */
+/** The interface through which request handling records what it does, for later explanation. */
 
 import type { Done } from '../../gen/peer_pb.ts'
 import type { Instant } from '../../core/id/instant.ts'
@@ -6,26 +6,28 @@
 import type { Identity } from '../caller/identity.ts'
 import type { Target } from '../caller/target.ts'
 
+/** A request as its caller sent it. */
 interface AuditedRequest {
   readonly sql: string
   readonly kind: string
   readonly identity: Identity
   readonly hints: Hints
-  /** The idempotency key that holds for the request; empty for none. */
+  /** The idempotency key of the request; empty for none. */
   readonly once: string
   readonly deadline: Instant
 }
 
+/** The open record of one request. */
 interface Trail {
-  /** Takes in an attempt that began at the instant and has ended now. */
+  /** Adds an attempt that began at `began` and ends now. */
   addAttempt (target: Target, done: Done, began: Instant): void
-  /** Takes in the outcome. Yields what the caller is told: the text of an error names the record's id. */
+  /** Completes the record and returns the caller's answer: an error message with the record's id added. */
   end (done: Done): Done
 }
 
-/** Records requests. Nothing here waits or fails, so that no request depends on it. */
+/** Records requests. `begin` and the methods of its trail never block or throw, so that a request does not depend on its record. */
 export interface Audit {
-  begin (asked: AuditedRequest): Trail
-  /** Writes what is in memory and ends the process's chain; resolves within `ms`, also when the store is down. */
+  begin (request: AuditedRequest): Trail
+  /** Writes the buffered records and ends the process's chain of batches; resolves within `ms`, even if the store is down. */
   flush (ms: number): Promise<void>
 }
--- a/src/shell/audit/batchkey.ts
+++ b/src/shell/audit/batchkey.ts
@@ -1,9 +1,9 @@
 /**
  * The key of a batch: `audit/date/hour/host/incarnation/cut-sequence-first-last.jsonl.gz`.
  *
- * Found by time through date and hour; found by a record's id through host,
- * incarnation and the list after the id's time, whose names tell which
- * requests a batch holds.
+ * Date and hour allow lookups by time. A record is looked up by its id: the
+ * keys of its host and incarnation, cut at the id's time or later, give the
+ * first and last request number of each batch.
  */
 
 import type { Batch } from '../../core/audit/batch.ts'
@@ -13,12 +13,13 @@
 const TIME_DIGITS = 13
 const KEY_PATTERN = /^audit\/[\d-]+\/\d\d\/([^/]+)\/([0-9a-f]+)\/(\d{13})-(\d{9})-(\d+)-(\d+)\.jsonl\.gz$/
 
-/** A batch's name in the store, taken apart. Immutable. */
+/** A batch's key in the store, parsed. Immutable. */
 export class BatchKey {
   private constructor (
     readonly text: string,
     readonly host: string,
     readonly incarnation: string,
+    /** Milliseconds since the epoch. */
     readonly cutAt: number,
     readonly sequence: number,
     readonly first: number,
@@ -31,7 +32,7 @@
     return new BatchKey(text, host, incarnation, cutAt, sequence, first, last)
   }
 
-  /** Undefined when the text isn't a batch's key. */
+  /** Undefined if the text is not the key of a batch. */
   static parse (text: string): BatchKey | undefined {
     const match = KEY_PATTERN.exec(text)
     if (match === null) return undefined
@@ -40,28 +41,30 @@
     return new BatchKey(text, decodeURIComponent(host!), incarnation!, cutAt, sequence, first, last)
   }
 
-  /** What the keys of all batches of an hour begin with. */
+  /** Common prefix of the keys of an hour's batches. */
   static hourPrefix (at: number): string {
     const [date, time] = new Date(at).toISOString().split('T')
     return `audit/${date}/${time!.slice(0, 2)}/`
   }
 
+  /** Common prefix of the keys of one process's batches of an hour. */
   static processPrefix (at: number, host: string, incarnation: string): string {
     return `${BatchKey.hourPrefix(at)}${encodeURIComponent(host)}/${incarnation}/`
   }
 
-  /** Lists that begin after this hold what the process cut at `at` or later in that hour. */
+  /** Start key for listing the batches that the process cut at `at` or later in that hour. */
   static before (at: number, host: string, incarnation: string): string {
     return BatchKey.processPrefix(at, host, incarnation) + padTime(at)
   }
 
-  /** The starts of the hours from one time to another, both included. */
+  /** Start times of all hours from `from` to `to`, inclusive. */
   static hours (from: number, to: number): readonly number[] {
     const start = Math.floor(from / HOUR_MS)
     const count = Math.max(0, Math.floor(to / HOUR_MS) - start + 1)
     return Array.from({ length: count }, (_, i) => (start + i) * HOUR_MS)
   }
 
+  /** Whether the batch's range of request numbers includes the record's. */
   mayContain (id: AuditId): boolean {
     return this.first > 0 && this.first <= id.count && id.count <= this.last
   }
--- a/src/shell/audit/batchwriter.ts
+++ b/src/shell/audit/batchwriter.ts
@@ -1,4 +1,4 @@
-/** Brings the records of a process to the object store, in batches and in order. */
+/** Writes the audit records of a process to the object store, in batches and in order. */
 
 import { promisify } from 'node:util'
 import { gzip } from 'node:zlib'
@@ -16,16 +16,16 @@
 
 interface Options {
   readonly host: HostId
-  /** Twelve hexadecimal digits, new for each run of the process. */
+  /** Twelve hexadecimal digits that identify this run of the process. */
   readonly incarnation: string
-  /** One that is bounded has its oldest batches dropped when it's full. */
+  /** When a bounded store is full, its oldest batches are dropped. */
   readonly store: ObjectStore | BoundedStore
   readonly limits: Parameters<typeof Batcher.create>[0]['limits']
   readonly log: Log
   readonly metrics: { readonly audit: ReturnType<typeof auditMetrics> }
 }
 
-/** A cut batch, compressed: an outage of the store then fits into a tenth of the memory. */
+/** A complete batch, compressed to save memory while the store is unavailable. */
 interface PackedBatch {
   readonly key: string
   readonly sequence: number
@@ -36,11 +36,12 @@
 
 const TICKS_PER_BATCH_AGE = 4
 const RETRY_DELAY_MS = 500
-/** The oldest batches that are dropped at once from a full store, so that it isn't full again with the next one. */
+/** Dropping many batches at once keeps a full store from filling up again with the next batch. */
 const BATCHES_PER_DROP = 100
 const AUDIT_PREFIX = 'audit/'
 const compress = promisify(gzip)
 
+/** Buffers records, cuts them into batches and stores these in order, retrying each until the store accepts it. */
 export class BatchWriter {
   private readonly batcher: Batcher
   private readonly queue: PackedBatch[] = []
@@ -56,13 +57,14 @@
   }
 
   static start (options: Options, signal: AbortSignal): BatchWriter {
-    const it = new BatchWriter(options, signal)
-    const ticker = setInterval(() => it.tick(), options.limits.ageMs / TICKS_PER_BATCH_AGE)
+    const writer = new BatchWriter(options, signal)
+    const ticker = setInterval(() => writer.tick(), options.limits.ageMs / TICKS_PER_BATCH_AGE)
     ticker.unref()
     signal.addEventListener('abort', () => clearInterval(ticker), { once: true })
-    return it
+    return writer
   }
 
+  /** Buffers a record; counts it as dropped after `flush`. */
   add (record: AuditRecord): void {
     const { metrics } = this.options
     if (this.isClosed) return metrics.audit.dropped.inc()
@@ -70,13 +72,13 @@
     this.enqueue(this.batcher.add(record, Date.now()))
   }
 
-  /** Writes what is in memory and ends the process's chain; resolves within `ms`, also when the store is down. */
+  /** Writes the buffered records and ends the process's chain of batches; resolves within `ms`, even if the store is down. */
   async flush (ms: number): Promise<void> {
     if (this.isClosed) return
     this.isClosed = true
     this.enqueue(this.batcher.close(Date.now()))
-    const all = this.packing.then(async () => await this.storing)
-    await Promise.race([all, pause(ms)])
+    const allStored = this.packing.then(async () => await this.storing)
+    await Promise.race([allStored, pause(ms)])
     const lost = this.queue.reduce((sum, batch) => sum + batch.entries, 0)
     if (lost === 0) return
     this.options.metrics.audit.dropped.inc(lost)
@@ -94,7 +96,7 @@
     log.write('recordsDropped', { count })
   }
 
-  /** Batches are packed and stored one after the other, so that one is in the store before the one that names it as previous. */
+  /** Packs and stores batches one after the other: a batch must be in the store before the next one, which refers to it as previous. */
   private enqueue (batch: Batch | undefined): void {
     if (batch === undefined) return
     this.packing = this.packing.then(async () => {
@@ -111,7 +113,7 @@
     }
   }
 
-  /** A put whose answer was lost is repeated: the same bytes under the same key. */
+  /** Returns whether the batch was stored. Safe to repeat after a lost response: the same bytes go to the same key. */
   private async store ({ key, sequence, entries, hash, body }: PackedBatch): Promise<boolean> {
     const { store, log, metrics } = this.options
     try {
@@ -130,7 +132,7 @@
     }
   }
 
-  /** Against records that stop for good once the store is full: the oldest go first, whichever host wrote them, since keys begin with the time. */
+  /** Drops the oldest batches of all hosts, so that a full store does not stop recording for good. Keys begin with the time, so the first ones listed are the oldest. */
   private async makeRoom (store: BoundedStore): Promise<void> {
     const { log, metrics } = this.options
     try {
--- a/src/shell/audit/burn.ts
+++ b/src/shell/audit/burn.ts
@@ -1,4 +1,4 @@
-/** Takes the records of the last days into a report on service levels, an hour at a time. */
+/** Builds the burn report on service levels from the audit records of the last days, hour by hour. */
 
 import { Counts } from '../../core/burn/counts.ts'
 import { BurnReport } from '../../core/burn/report.ts'
@@ -13,21 +13,21 @@
   readonly reader: AuditReader
   readonly store: ObjectStore
   readonly levels: readonly ServiceLevel[]
+  /** Milliseconds since the epoch; the report ends here. */
   readonly now: number
-  /** Batches that may be read for one report. */
+  /** Maximum number of batches to read for one report. */
   readonly most: number
 }
 
 const HOUR_MS = 3_600_000
-/** After so long the processes' batches of an hour are in the store, but for outages. */
+/** Time after the end of an hour by which its batches are in the store, outages aside. */
 const WRITE_DELAY_MS = 60_000
 
 /**
- * Reads batches, newest hour first, until `most` are read. The counts of an
- * hour that is over are kept in the store, so that the next report reads only
- * what is new; the batches stay the source, and the kept counts are made anew
- * when the hour has got another number of batches since (after an outage) or
- * the levels are others.
+ * Reads batches, newest hour first, until `most` are read. The counts of a
+ * completed hour are cached in the store, so that the next report reads only
+ * new batches. Cached counts are recomputed when the number of the hour's
+ * batches has changed (after an outage) or the service levels have changed.
  */
 export async function measureBurn (options: Options): Promise<BurnReport> {
   return await Measurement.create(options).run()
@@ -62,8 +62,8 @@
       this.batchesFound += keys.length
       if (keys.length > 0) await this.addHour(hour, keys)
     }
-    const { records, oldest, unreadable, gaps, batchesCounted: taken, batchesFound: there } = this
-    return BurnReport.of({ now, oldest, records, batchesRead: taken, batchesThere: there, unreadable, gaps }, this.minuteCounts)
+    const { records, oldest, unreadable, gaps, batchesCounted, batchesFound } = this
+    return BurnReport.of({ now, oldest, records, batchesRead: batchesCounted, batchesThere: batchesFound, unreadable, gaps }, this.minuteCounts)
   }
 
   private async addHour (hour: number, keys: readonly BatchKey[]): Promise<void> {
@@ -80,7 +80,7 @@
   private async count (keys: readonly BatchKey[]): Promise<Counts> {
     const counts = Counts.create(this.options.levels)
     for await (const { key, page } of this.options.reader.batches(keys)) {
-      const problem = page.match(one => one.fields.problems[0], unread => unread)
+      const problem = page.match(one => one.fields.problems[0], error => error)
       if (page.isOk() && problem === undefined) counts.add(page.value.fields.records, page.value.fields.gaps)
       else this.unreadable.push(`${key.text}: ${problem}`)
     }
@@ -93,15 +93,16 @@
     this.records += counts.records
     this.gaps.push(...counts.gaps)
     if (oldest !== undefined) this.oldest = Math.min(this.oldest ?? oldest, oldest)
-    for (const [i, tally] of this.minuteCounts.entries()) tally.add(counts.minutesOf(i))
+    for (const [i, level] of this.minuteCounts.entries()) level.add(counts.minutesOf(i))
   }
 
+  /** The cached counts of the hour, if there are any for these service levels. */
   private async kept (hour: number): Promise<Counts | undefined> {
     const body = await this.options.store.get(this.keyOf(hour))
     return body === undefined ? undefined : Counts.parse(this.options.levels, new TextDecoder().decode(body))
   }
 
-  /** Who may only read the store gets the same report, by reading all batches each time. */
+  /** Ignores failures: with read-only access to the store, each report reads all batches. */
   private async storeCounts (hour: number, counts: Counts): Promise<void> {
     const body = new TextEncoder().encode(JSON.stringify(counts))
     await this.options.store.put(this.keyOf(hour), body).catch(() => undefined)
--- a/src/shell/audit/check.ts
+++ b/src/shell/audit/check.ts
@@ -1,4 +1,4 @@
-/** Checks the chains and the promises of a period of records. */
+/** Verifies the batch chains and the promises of the audit records of a period. */
 
 import { checkPromises } from '../../core/audit/promises.ts'
 import { checkSequence } from '../../core/audit/sequence.ts'
@@ -9,6 +9,7 @@
 type Read = Awaited<ReturnType<AuditReader['readAll']>>[number]
 type Page = ReturnType<Read['page']['_unsafeUnwrap']>
 
+/** A readable batch and its key. */
 interface KeyedPage {
   readonly key: string
   readonly page: Page
@@ -17,16 +18,17 @@
 interface Report {
   readonly batches: number
   readonly records: number
-  /** Records that the processes say they dropped. */
+  /** Number of records that the processes reported as dropped. */
   readonly dropped: number
   readonly kept: ReturnType<typeof checkPromises>['kept']
   readonly problems: readonly string[]
   readonly notes: readonly string[]
 }
 
-/** Clocks of two hosts may differ by so much. */
+/** Assumed maximum difference between the clocks of two hosts. */
 const MAX_CLOCK_SKEW_MS = 100
 
+/** Checks batches as read from the store: whether they can be read, match their keys, form complete chains and keep the promises made to callers. */
 export function checkRecords (reads: readonly Read[]): Report {
   const unreadable = reads.flatMap(({ key, page }) => page.isErr() ? [`${key.text}: ${page.error}`] : [])
   const misnamed = reads.flatMap(({ key, page }) => page.isOk() ? keyMismatches(key, page.value) : [])
@@ -44,13 +46,13 @@
   }
 }
 
-/** Against a batch that was put in another's place: its text says another process or number than its name. */
+/** Detects a batch stored under the key of another: its header has a different process or sequence number. */
 function keyMismatches (key: BatchKey, { fields: { header } }: Page): string[] {
-  const isAgreed = header.host === key.host && header.incarnation === key.incarnation && header.sequence === key.sequence
-  return isAgreed ? [] : [`${key.text}: it holds batch ${header.sequence} of ${header.host}/${header.incarnation}: batches were exchanged`]
+  const isMatch = header.host === key.host && header.incarnation === key.incarnation && header.sequence === key.sequence
+  return isMatch ? [] : [`${key.text}: it holds batch ${header.sequence} of ${header.host}/${header.incarnation}: batches were exchanged`]
 }
 
-/** The batches of each process, in the order of their numbers. */
+/** Groups the batches by process, ordered by sequence number. */
 function chainsOf (pages: readonly KeyedPage[]): ReadonlyArray<readonly KeyedPage[]> {
   const chains = new Map<string, KeyedPage[]>()
   for (const one of pages) {
--- a/src/shell/audit/digest.ts
+++ b/src/shell/audit/digest.ts
@@ -1,10 +1,10 @@
-/** The hash of the records' chain. */
+/** The hash that links audit batches to a chain. */
 
 import { createHash } from 'node:crypto'
 
 const DIGEST_LENGTH = 22
 
-/** SHA-256 cut to 132 bits: a record carries one, and a longer one wouldn't make a collision any more likely to be found. */
+/** SHA-256 in base64url, truncated to 132 bits: short enough to store, and still resistant to collisions. */
 export function digest (text: string): string {
   return createHash('sha256').update(text).digest('base64url').slice(0, DIGEST_LENGTH)
 }
--- a/src/shell/audit/metrics.ts
+++ b/src/shell/audit/metrics.ts
@@ -1,8 +1,8 @@
-/** What a process counts of its audit records. */
+/** Metrics of audit records. */
 
 import { Counter, Gauge, type Registry } from 'prom-client'
 
-/** Registers the counters and the gauge once. */
+/** Creates and registers the metrics; call once per registry. */
 export function auditMetrics (registry: Registry) {
   return {
     records: new Counter({ name: 'agatepond_audit_records_total', help: 'Audit records made', registers: [registry] }),
--- a/src/shell/audit/noop.ts
+++ b/src/shell/audit/noop.ts
@@ -1,4 +1,4 @@
-/** The audit of a process that records nothing. */
+/** An `Audit` that records nothing, for processes with auditing disabled. */
 
 import type { Audit } from './audit.ts'
 
--- a/src/shell/audit/open.ts
+++ b/src/shell/audit/open.ts
@@ -1,4 +1,4 @@
-/** Opens the audit that a process's settings ask for. */
+/** Creates the `Audit` that the settings select. */
 
 import type { HostId } from '../../core/id/host.ts'
 import type { parseSettings } from '../../core/settings/settings.ts'
@@ -13,8 +13,8 @@
 const INCARNATION_DIGITS = 12
 
 /**
- * Lives as long as the process, not as its signal: what was recorded while the
- * process drains is still to be stored by `flush`, which is its end.
+ * The audit ends with `flush`, not with the process's abort signal, so that
+ * requests recorded while the process drains are still stored.
  */
 export function openAudit ({ settings, incarnation, ...rest }: Options): Audit {
   const { audit, host, platform } = settings
--- a/src/shell/audit/reader.ts
+++ b/src/shell/audit/reader.ts
@@ -13,7 +13,7 @@
 interface FoundRecord {
   readonly record: AuditRecord
   readonly key: string
-  /** What doesn't agree in its batch. */
+  /** Inconsistencies found in its batch. */
   readonly problems: readonly string[]
 }
 
@@ -23,15 +23,15 @@
 }
 
 const MAX_LISTED_KEYS = 1000
-/** Batches that may hold a record: those cut next after it arrived. */
+/** Maximum number of batches to search for a record, starting with the first one cut after the request arrived. */
 const MAX_CANDIDATE_BATCHES = 100
-/** Hours after its arrival in which a record's batch is looked for; a request's deadline is far shorter. */
+/** Further hours to search for a record's batch; a request's deadline is far shorter. */
 const EXTRA_HOURS = 1
 const MAX_PARALLEL_READS = 16
 const HOUR_MS = 3_600_000
-const expand = promisify(gunzip)
+const decompress = promisify(gunzip)
 
-/** Reads the batches of all processes. Every method rejects when the store doesn't answer. */
+/** Reads the batches of all processes. Every method rejects if the store does not respond. */
 export class AuditReader {
   private constructor (private readonly store: ObjectStore) {}
 
@@ -39,7 +39,7 @@
     return new AuditReader(store)
   }
 
-  /** One list and one read, as a rule; the error says in a line why there is no record. */
+  /** Finds a record by its id, usually with one list and one read. The error is a one-line explanation of why there is no record. */
   async find (id: AuditId): Promise<Result<FoundRecord, string>> {
     const keys = await this.candidateKeys(id)
     for (const key of keys.filter(one => one.mayContain(id))) {
@@ -52,18 +52,18 @@
     return err(await this.explainMissing(id, keys))
   }
 
-  /** Keys of all batches cut from one time to another, in order of their processes. */
+  /** Keys of all batches cut from `from` to `to` (milliseconds since the epoch), hour by hour and grouped by process. */
   async keys (from: number, to: number): Promise<readonly BatchKey[]> {
     const keys: BatchKey[] = []
     for (const hour of BatchKey.hours(from, to)) keys.push(...await this.listAll(BatchKey.hourPrefix(hour)))
     return keys.filter(key => key.cutAt >= from && key.cutAt <= to)
   }
 
-  /** The batches of the keys, in their order, a few at a time. */
+  /** Reads batches in the order of their keys, a few at a time. */
   async * batches (keys: readonly BatchKey[]): AsyncGenerator<BatchRead> {
     for (let i = 0; i < keys.length; i += MAX_PARALLEL_READS) {
-      const some = keys.slice(i, i + MAX_PARALLEL_READS)
-      yield * await Promise.all(some.map(async key => ({ key, page: await this.read(key) })))
+      const chunk = keys.slice(i, i + MAX_PARALLEL_READS)
+      yield * await Promise.all(chunk.map(async key => ({ key, page: await this.read(key) })))
     }
   }
 
@@ -76,8 +76,8 @@
   private async read (key: BatchKey): Promise<Result<Page, string>> {
     const body = await this.store.get(key.text)
     if (body === undefined) return err('the batch is missing from the store')
-    const text = await expand(body).then(String, () => undefined)
-    if (text === undefined) return err('the batch is damaged: it can not be expanded')
+    const text = await decompress(body).then(String, () => undefined)
+    if (text === undefined) return err('the batch is damaged: it cannot be decompressed')
     return Page.parse(digest, text).mapErr(problem => `the batch is damaged: ${problem}`)
   }
 
@@ -89,25 +89,25 @@
     return [...first, ...next.flat()]
   }
 
-  /** A record that isn't there was dropped, was taken away, or never got to the store. */
+  /** Explains why a record is missing: dropped, deleted, not written yet or lost. */
   private async explainMissing (id: AuditId, after: readonly BatchKey[]): Promise<string> {
     for (const { page } of await this.readAll(after.slice(0, MAX_PARALLEL_READS))) {
       const gap = page.isOk() ? page.value.fields.gaps.find(one => one.from <= id.at && id.at <= one.to) : undefined
-      if (gap !== undefined) return `no record: the process dropped ${gap.count} records around that time, for want of room`
+      if (gap !== undefined) return `no record: the process dropped ${gap.count} records around that time because its buffer was full`
     }
     const all = await this.listAll(BatchKey.processPrefix(id.at, id.host, id.incarnation))
     const missing = missingSequences([...all, ...after])
     if (missing.length > 0) return `no record: batch ${missing.join(', ')} of ${id.host}/${id.incarnation} is missing from the store`
     if (all.length + after.length === 0) return `no record: the store has no batch of ${id.host}/${id.incarnation} from that hour`
-    return 'no record: it is not written yet (ask again in some seconds), or its process ended before it was'
+    return 'no record: it is not written yet (try again in a few seconds), or its process ended before it was'
   }
 
   private async listAll (prefix: string): Promise<readonly BatchKey[]> {
     const keys: BatchKey[] = []
     for (;;) {
-      const some = await this.list(prefix, keys.at(-1)?.text ?? '', MAX_LISTED_KEYS)
-      keys.push(...some)
-      if (some.length < MAX_LISTED_KEYS) return keys
+      const page = await this.list(prefix, keys.at(-1)?.text ?? '', MAX_LISTED_KEYS)
+      keys.push(...page)
+      if (page.length < MAX_LISTED_KEYS) return keys
     }
   }
 
@@ -116,10 +116,10 @@
   }
 }
 
-/** Numbers that are absent among the batches of one process. */
+/** Sequence numbers missing between the first and the last of the batches of one process. */
 function missingSequences (keys: readonly BatchKey[]): readonly number[] {
   const seen = new Set(keys.map(key => key.sequence))
   const least = Math.min(...seen)
   const most = Math.max(...seen)
-  return Array.from({ length: Math.max(0, most - least) }, (_, i) => least + i).filter(number => !seen.has(number))
+  return Array.from({ length: Math.max(0, most - least) }, (_, i) => least + i).filter(sequence => !seen.has(sequence))
 }
--- a/src/shell/audit/recorder.ts
+++ b/src/shell/audit/recorder.ts
@@ -1,4 +1,4 @@
-/** Records the requests of a process that are asked for by MySQL's protocol. */
+/** Records the requests that a process receives over the MySQL protocol. */
 
 import { fingerprint } from '../../core/audit/fingerprint.ts'
 import { AuditId } from '../../core/audit/id.ts'
@@ -15,7 +15,7 @@
   readonly now: () => Instant
 }
 
-/** Audits all requests until the signal is aborted. */
+/** Records all requests; stores them until the signal is aborted. */
 export class Recorder implements Audit {
   private count = 0
 
@@ -47,7 +47,7 @@
       statement: fingerprint(sql),
       deadlineMs: Math.round(deadline - began)
     })
-    return RequestTrail.begin({ record, began, now, onRecord: one => this.batches.add(one) })
+    return RequestTrail.begin({ record, began, now, onRecord: finished => this.batches.add(finished) })
   }
 
   async flush (ms: number): Promise<void> {
--- a/src/shell/audit/trail.ts
+++ b/src/shell/audit/trail.ts
@@ -1,4 +1,4 @@
-/** Collects the record of one request while it runs. */
+/** Builds the audit record of one request while it runs. */
 
 import { Done_Outcome as DoneOutcome, Run_Access as RunAccess, type Done } from '../../gen/peer_pb.ts'
 import type { Evidence } from '../../core/audit/evidence.ts'
@@ -14,7 +14,7 @@
   readonly record: AuditRecord
   readonly began: Instant
   readonly now: () => Instant
-  /** Takes the finished record. */
+  /** Called with the complete record. */
   readonly onRecord: (record: AuditRecord) => void
 }
 
@@ -36,6 +36,7 @@
   [DoneOutcome.FAILED]: 'failed'
 }
 
+/** The open record of one request: collects its attempts and hands over the record at the end. */
 export class RequestTrail {
   private record: AuditRecord
 
@@ -64,14 +65,14 @@
   }
 
   end (done: Done): Done {
-    const { now, began, onRecord: keep } = this.options
-    keep(this.record.withOutcome(OUTCOME[done.outcome], roundToTenths(now() - began)))
+    const { now, began, onRecord } = this.options
+    onRecord(this.record.withOutcome(OUTCOME[done.outcome], roundToTenths(now() - began)))
     if (done.outcome === DoneOutcome.DONE) return done
     return { ...done, message: `${done.message} (request ${this.record.fields.id})` }
   }
 }
 
-/** What the slot owner's answer stands for; what only routing knows comes with the target. */
+/** The evidence for the outcome: from the slot owner's answer, or from the target where only routing knows it. */
 function evidenceOf (target: Target, done: Done): Evidence | undefined {
   if (done.outcome === DoneOutcome.NOT_RUN && done.reason in reasons) return { promise: 'notRun', reason: done.reason as ReasonName }
   if (done.outcome !== DoneOutcome.DONE || target.kind === 'nowhere') return undefined
@@ -85,7 +86,7 @@
   return done.position > 0 ? `${done.term}:${done.position}` : undefined
 }
 
-/** A tenth of a millisecond is as fine as an explanation needs, and shorter to keep. */
+/** Rounds to tenths of a millisecond, which keeps records short. */
 function roundToTenths (ms: number): number {
   return Math.round(ms * 10) / 10
 }
--- a/src/shell/config/follower.ts
+++ b/src/shell/config/follower.ts
@@ -1,4 +1,4 @@
-/** Keeps the newest configuration in force in this process: polls the store, listens to peers and tells them. */
+/** Keeps the newest configuration in force in this process: polls the store and exchanges versions with peers. */
 
 import { create } from '@bufbuild/protobuf'
 import { ConfigBodySchema, ConfigDigestSchema, type ConfigBody, type Frame } from '../../gen/peer_pb.ts'
@@ -28,22 +28,23 @@
   readonly log: Log
   readonly now: () => Instant
   readonly chance: () => number
-  /** Sends a frame to a host if there is a link to it. */
+  /** Sends a frame to a host; does nothing without a link to it. */
   readonly send: (host: HostId, body: Frame['body']) => void
   readonly onApply: (config: Config) => void
 }
 
 const TICK_INTERVAL_MS = 500
+/** Base of a candidate that holds the whole document. */
 const NO_BASE = 0 as ConfigVersion
 
-/** The loop round the core's holder and gossip. */
+/** Drives the configuration holder and the gossip of the core with timers, store reads and frames from peers. */
 export class ConfigFollower {
   private holder = ConfigHolder.empty
   private gossip = Gossip.create()
   private startup: ConfigStartup
   private roles: Roles
   private misses = 0
-  /** What peers offered while it wasn't clear yet whether one of them has a higher version. */
+  /** Highest version offered by peers during startup, until it is known whether another peer has a higher one. */
   private earlyOffer: { readonly candidate: ConfigCandidate, readonly from: HostId } | undefined
   private storeProblem = ''
 
@@ -53,43 +54,45 @@
   }
 
   static start (options: Options, signal: AbortSignal): ConfigFollower {
-    const it = new ConfigFollower(options)
-    it.poll(signal)
-    const tick = setInterval(() => it.tick(), TICK_INTERVAL_MS)
-    signal.addEventListener('abort', () => clearInterval(tick), { once: true })
-    return it
+    const follower = new ConfigFollower(options)
+    follower.poll(signal)
+    const timer = setInterval(() => follower.tick(), TICK_INTERVAL_MS)
+    signal.addEventListener('abort', () => clearInterval(timer), { once: true })
+    return follower
   }
 
   get config (): Config | undefined {
     return this.holder.config
   }
 
-  /** Why there is no configuration in force; undefined when there is one. */
+  /** Why no configuration is in force; undefined if one is. */
   get problem (): string | undefined {
     return this.holder.config === undefined ? this.startup.reason : undefined
   }
 
-  /** What waits for the store to answer. */
+  /** Work that waits for the store to respond, for the status report. */
   get waiting (): readonly string[] {
     return this.storeProblem === '' ? [] : [`the next poll for a newer configuration: ${this.storeProblem}`]
   }
 
-  /** The hosts that this one tells of news; it needs links to them. */
+  /** The hosts to which this one sends new versions; it needs links to them. */
   get partners (): readonly HostId[] {
     return this.roles.partners
   }
 
+  /** Uses the current host list to choose gossip partners and the hosts that poll the store. */
   setHosts (hosts: readonly Host[]): void {
     this.roles = Roles.of(this.options.self, hosts)
     this.startup = this.startup.withPeers(hosts.filter(host => host.id !== this.options.self).map(host => host.id))
     this.step({ kind: 'members', partners: this.roles.partners })
   }
 
+  /** Call when a link to the host is open. */
   onLinked (host: HostId): void {
     this.step({ kind: 'linked', host })
   }
 
-  /** A frame of the gossip came from a host; `reply` answers on the same link. */
+  /** Handles a gossip frame from a host; `reply` answers on the same link. */
   receive (from: HostId, body: Frame['body'], reply: Reply): void {
     if (body.case === 'configDigest') {
       const version = body.value.version as ConfigVersion
@@ -111,10 +114,10 @@
   }
 
   private applyEarlyOffer (): void {
-    const { earlyOffer: early } = this
-    if (early === undefined || !this.startup.canTake(early.candidate.version, this.options.now())) return
+    const { earlyOffer } = this
+    if (earlyOffer === undefined || !this.startup.canTake(earlyOffer.candidate.version, this.options.now())) return
     this.earlyOffer = undefined
-    this.offer(early.candidate, early.from)
+    this.offer(earlyOffer.candidate, earlyOffer.from)
   }
 
   private offer (candidate: ConfigCandidate, from: HostId | undefined, reply?: Reply): void {
--- a/src/shell/config/revision.ts
+++ b/src/shell/config/revision.ts
@@ -1,4 +1,4 @@
-/** One accepted version as it is kept in the store. */
+/** An accepted configuration version and its record in the store. */
 
 import type { ConfigVersion } from '../../core/id/version.ts'
 import type { parseConfigRecord } from '../../core/config/configrecord.ts'
--- a/src/shell/config/store.ts
+++ b/src/shell/config/store.ts
@@ -1,4 +1,4 @@
-/** The numbered configurations in the platform's store: rows in the table service, large documents in the object store. */
+/** Configuration versions in the platform's stores: rows in the table service, large documents in the object store. */
 
 import { parseConfigRecord } from '../../core/config/configrecord.ts'
 import type { ConfigVersion } from '../../core/id/version.ts'
@@ -12,10 +12,10 @@
 const PARTITION = 'config'
 const VERSION_DIGITS = 12
 
-/** A row may hold 400 KB, and every poll reads the newest one; what is larger than this goes to the object store. */
+/** Larger documents go to the object store: every poll reads the newest row, and rows are limited to 400 KB. */
 const MAX_INLINE_BYTES = 65_536
 
-/** Every method rejects when the store is down; a write may then have taken effect. */
+/** Every method rejects if the store is down; a write may have taken effect nevertheless. */
 export class ConfigStore {
   private constructor (private readonly table: TableService, private readonly objects: ObjectStore) {}
 
@@ -23,6 +23,7 @@
     return new ConfigStore(table, objects)
   }
 
+  /** The newest version, if there is any. */
   async newest (): Promise<Revision | undefined> {
     return revisionOf(await this.table.newest(PARTITION))
   }
@@ -41,14 +42,14 @@
   async document ({ version, record }: Revision): Promise<string> {
     if (record.document !== undefined) return record.document
     const body = record.object === undefined ? undefined : await this.objects.get(record.object)
-    if (body === undefined) throw new Error(`the document of version ${version} isn't in the object store; restore the bucket`)
+    if (body === undefined) throw new Error(`the document of version ${version} is missing from the object store; restore the bucket`)
     return new TextDecoder().decode(body)
   }
 
   /**
-   * Creates the version, or answers `exists` and changes nothing. The object is
-   * written before the row, so that a row never points to nothing, and its key
-   * has the patch's id, so that racing operators don't overwrite each other's.
+   * Creates the version, or returns `exists` and changes nothing. The object is
+   * written before the row, so that a row never refers to a missing object. Its
+   * key includes the patch's id, so that concurrent patches don't overwrite it.
    */
   async create (version: ConfigVersion, record: Omit<ConfigRecord, 'document' | 'object'>, document: string): Promise<'created' | 'exists'> {
     const bytes = new TextEncoder().encode(document)
--- a/src/shell/config/submission.ts
+++ b/src/shell/config/submission.ts
@@ -1,8 +1,8 @@
 /**
- * Submits one patch. The row of version N + 1 is created only if it's absent,
- * so of two operators who both start from N one wins, and the other is told
- * what changed. An answer that gets lost is settled by reading the row back:
- * it holds the id of the patch that created it.
+ * Submits one configuration patch with optimistic concurrency: the row of
+ * version N + 1 is created only if it is absent, so that of two patches based
+ * on N one is accepted and the other gets the changes since N. After a lost
+ * response, the row shows by its patch id which patch created it.
  */
 
 import { createHash } from 'node:crypto'
@@ -17,11 +17,12 @@
 
 interface Patch {
   readonly base: ConfigVersion
+  /** Idempotency key, chosen by the operator's command. */
   readonly id: string
   readonly by: string
   readonly why: string
   readonly at: number
-  /** A whole document, or `{ change: … }` with the changed parts. */
+  /** A whole document, or `{ change: … }` with only the changed parts. */
   readonly body: Json
 }
 
@@ -30,6 +31,7 @@
 const MAX_LISTED_REVISIONS = 1000
 const EMPTY_DOCUMENT: Json = { groups: [], pools: [] }
 
+/** One patch and the store to which it is submitted. */
 export class Submission {
   private constructor (private readonly store: ConfigStore, private readonly patch: Patch) {}
 
@@ -37,7 +39,7 @@
     return new Submission(store, patch)
   }
 
-  /** Tries again while the store doesn't answer, since every step may be repeated under the same id. */
+  /** Retries if the store does not respond; every step is idempotent under the same patch id. */
   async run (): Promise<SubmissionResult> {
     let cause = ''
     for (let i = 0; i < MAX_ATTEMPTS; i++) {
@@ -52,8 +54,8 @@
   }
 
   /**
-   * Reads before it writes: an earlier run of this command, or an earlier try
-   * whose answer was lost, may have created the version already.
+   * Reads before it writes: an earlier run of the command, or an attempt whose
+   * response was lost, may already have created the version.
    */
   private async attempt (): Promise<SubmissionResult> {
     const { base } = this.patch
@@ -72,7 +74,7 @@
     return await this.settle(await this.store.list(base, MAX_LISTED_REVISIONS))
   }
 
-  /** Somebody created versions above the base: this patch, or other ones. */
+  /** Determines the result when versions above the base exist: from this patch or from others. */
   private async settle (since: readonly Revision[]): Promise<SubmissionResult> {
     const own = since.find(({ record }) => record.id === this.patch.id)
     if (own === undefined) return await this.outdated(since)
--- a/src/shell/config/submissionresult.ts
+++ b/src/shell/config/submissionresult.ts
@@ -1,13 +1,13 @@
-/** How a submitted patch ended. */
+/** The result of a submitted patch. */
 
 import type { ConfigVersion } from '../../core/id/version.ts'
 
 /**
- * - `accepted`: the patch is the version.
- * - `outdated`: its base isn't the newest; `changes` says what changed since.
- * - `reused`: its id was used for another patch.
- * - `invalid`: the result isn't a configuration; nothing was written.
- * - `unknown`: the store didn't answer; the same command with the same id settles it.
+ * - `accepted`: the patch became `version`.
+ * - `outdated`: its base is not the newest version; `changes` lists the changes since.
+ * - `reused`: its id was already used for another patch, which became `version`.
+ * - `invalid`: the result is not a valid configuration; nothing was written.
+ * - `unknown`: the store did not respond; repeat the command with the same id.
  */
 export type SubmissionResult =
   | { readonly kind: 'accepted', readonly version: ConfigVersion }
--- a/src/shell/config/survey.ts
+++ b/src/shell/config/survey.ts
@@ -1,4 +1,4 @@
-/** Asks every host of the list what it has in force. */
+/** Asks every host of the host list for its status and configuration version. */
 
 import { createClient } from '@connectrpc/connect'
 import { createGrpcTransport } from '@connectrpc/connect-node'
@@ -13,14 +13,14 @@
   readonly host: string
   readonly dataCentre: string
   readonly state: string
-  /** 0 when the host has none or doesn't answer. */
+  /** Configuration version; 0 if the host has none or does not respond. */
   readonly version: number
   readonly isReady: boolean
-  /** Why it isn't ready; what waits for the store. */
+  /** Why it is not ready, and which work waits for the store. */
   readonly notes: readonly string[]
 }
 
-/** A host that doesn't answer within the time is a finding too. */
+/** Never rejects: a host that does not respond within `timeoutMs` is reported as such. */
 export async function surveyHosts (hosts: readonly Host[], timeoutMs: number, keys?: TlsKeys): Promise<readonly HostStatus[]> {
   return await Promise.all(hosts.map(async host => await ask(host, timeoutMs, keys)))
 }
@@ -30,8 +30,8 @@
   try {
     const { host, version, ready, reason, waiting } = await client.status({}, { timeoutMs })
     const notes = [...reason === '' ? [] : [reason], ...waiting.map(one => `waits: ${one}`)]
-    const stranger = host === id ? [] : [`answers as ${host}; check the host list`]
-    return { host: id, dataCentre, state, version, isReady: ready, notes: [...notes, ...stranger] }
+    const mismatch = host === id ? [] : [`answers as ${host}; check the host list`]
+    return { host: id, dataCentre, state, version, isReady: ready, notes: [...notes, ...mismatch] }
   } catch {
     return { host: id, dataCentre, state, version: 0, isReady: false, notes: ['does not answer'] }
   }
--- a/src/shell/log/events.ts
+++ b/src/shell/log/events.ts
@@ -1,4 +1,4 @@
-/** The numbered events of the log. docs/EVENTS.md has the same list with what to do about each. */
+/** The numbered events of the log. docs/EVENTS.md lists them too, with the action to take for each. */
 
 type Level = 'info' | 'warn' | 'error'
 
--- a/src/shell/log/log.test.ts
+++ b/src/shell/log/log.test.ts
@@ -1,16 +1,15 @@
-/** That a reader of the log that stalls holds nothing up. */
+/** Guards against a stalled log reader blocking the process. */
 
 import { spawn } from 'node:child_process'
 import { expect, it } from 'vitest'
 import { Log } from './log.ts'
 
-/** More than a pipe and the log's own room take together. */
+/** More than the pipe and the log's own buffer hold together. */
 const LINES = 20_000
 const FLUSH_MS = 20
 
-it('writes on and ends while nobody reads', async () => {
-  // Callers get no answers for as long as the collector of logs hangs.
-  // The pipe to it fills, and the next line waits in the middle of a request until there is room.
+it('writes and flushes without blocking while nobody reads', async () => {
+  // With a full pipe, a blocking write would stall requests until the log collector reads again.
   const reader = spawn('sleep', ['60'], { stdio: ['pipe', 'ignore', 'ignore'] })
   const { fd } = (reader.stdin as unknown as { _handle: { fd: number } })._handle
   const log = Log.buffered('h1', fd)
--- a/src/shell/log/log.ts
+++ b/src/shell/log/log.ts
@@ -1,4 +1,4 @@
-/** The structured log: one JSON line an event, by number. */
+/** The structured log: one JSON line per numbered event. */
 
 import { setTimeout as pause } from 'node:timers/promises'
 import { destination, pino, type Logger } from 'pino'
@@ -7,28 +7,29 @@
 type EventName = keyof typeof events
 
 const STANDARD_OUTPUT = 1
-/** Bytes that are gathered to one write, since each write costs a call to the system, */
+/** Lines are collected up to this size, to save system calls. */
 const MIN_WRITE_BYTES = 4096
-/** how long they wait at most, in milliseconds, */
+/** Collected lines are written at least this often. */
 const FLUSH_INTERVAL_MS = 500
-/** and bytes that may wait for a reader that stalls; what comes then is dropped. */
+/** Further lines are dropped while this much waits for a stalled reader. */
 const MAX_BUFFERED_BYTES = 1_048_576
 
-/** Writes numbered events. Fields never hold a secret or a statement's values. */
+/** Writes numbered events. Fields must not contain secrets or values from statements. */
 export class Log {
   private constructor (private readonly logger: Logger, private readonly flushAll = async () => {}) {}
 
+  /** Writes each line to standard output at once. */
   static create (host: string): Log {
     return new Log(pino({ base: { host }, timestamp: pino.stdTimeFunctions.isoTime }))
   }
 
-  /** Never blocks: lines are gathered, and dropped while the reader stalls. */
+  /** Never blocks: collects lines into larger writes, and drops them when the buffer is full because the reader stalls. */
   static buffered (host: string, fd = STANDARD_OUTPUT): Log {
     const out = destination({ dest: fd, sync: false, minLength: MIN_WRITE_BYTES, maxLength: MAX_BUFFERED_BYTES, periodicFlush: FLUSH_INTERVAL_MS })
     return new Log(pino({ base: { host }, timestamp: pino.stdTimeFunctions.isoTime }, out), async () => await new Promise(resolve => out.flush(() => resolve())))
   }
 
-  /** Each line goes to the function, as it's written. */
+  /** Passes each line to the function. */
   static to (write: (line: string) => void): Log {
     return new Log(pino({}, { write }))
   }
@@ -40,8 +41,8 @@
     this.logger[level]({ event: id, ...fields }, message)
   }
 
-  /** Writes out what was gathered, at the end of the process; doesn't wait for a reader that stalls for longer than the time. */
-  async flush (mostMs: number): Promise<void> {
-    await Promise.race([this.flushAll(), pause(mostMs)])
+  /** Writes the collected lines at the end of the process; waits at most `timeoutMs` for a stalled reader. */
+  async flush (timeoutMs: number): Promise<void> {
+    await Promise.race([this.flushAll(), pause(timeoutMs)])
   }
 }
--- a/src/shell/log/warnings.ts
+++ b/src/shell/log/warnings.ts
@@ -1,8 +1,8 @@
-/** Writes Node's own warnings as lines of the log, in place of raw text between the lines. */
+/** Writes Node's process warnings to the structured log instead of standard error. */
 
 import type { Log } from './log.ts'
 
-/** For the whole process: nothing else prints them from then on. */
+/** Replaces all other warning listeners of the process, including the default one. */
 export function logWarnings (log: Log): void {
   process.removeAllListeners('warning')
   process.on('warning', ({ name, message }) => log.write('runtimeWarned', { warning: name, text: message }))
--- a/src/shell/metrics/metrics.ts
+++ b/src/shell/metrics/metrics.ts
@@ -1,9 +1,9 @@
-/** The metrics of one process. */
+/** Prometheus metrics of the process. */
 
 import { Counter, Gauge, Registry, collectDefaultMetrics } from 'prom-client'
 import { auditMetrics } from '../audit/metrics.ts'
 
-/** All metrics, registered once a process. */
+/** Registers the metrics in a registry of its own; create one per process. */
 export class Metrics {
   readonly registry = new Registry()
   readonly requests = new Counter({
--- a/src/shell/platform/boundedstore.ts
+++ b/src/shell/platform/boundedstore.ts
@@ -1,9 +1,9 @@
-/** An object store of a fixed size, which its users keep from running over. */
+/** An object store of limited size, whose users must delete old objects. */
 
 import type { ObjectStore } from './objectstore.ts'
 
-/** `put` rejects with `StoreFull` when there is no room. */
+/** `put` rejects with `StoreFullError` if the store is full. */
 export interface BoundedStore extends ObjectStore {
-  /** Takes the object away; one that isn't there is no failure. */
+  /** Deletes the object; does nothing if it does not exist. */
   drop (key: string): Promise<void>
 }
--- a/src/shell/platform/dynamotable.ts
+++ b/src/shell/platform/dynamotable.ts
@@ -1,4 +1,4 @@
-/** The table service by the DynamoDB API. */
+/** The table service over the DynamoDB API. */
 
 import {
   ConditionalCheckFailedException, DynamoDBClient, GetItemCommand, PutItemCommand, QueryCommand, type AttributeValue
@@ -14,7 +14,7 @@
   readonly timeoutMs: number
 }
 
-/** One table with the keys `pk` and `sk`. Credentials come from the environment, as the SDK reads them. */
+/** One table with the keys `pk` and `sk`. The SDK reads the credentials from the environment. */
 export class DynamoTable implements TableService {
   private constructor (private readonly client: DynamoDBClient, private readonly table: string) {}
 
@@ -33,16 +33,16 @@
   }
 
   async create (row: Row): Promise<'created' | 'exists'> {
-    const isDone = await this.put(row, { ConditionExpression: 'attribute_not_exists(pk)' })
-    return isDone ? 'created' : 'exists'
+    const isWritten = await this.put(row, { ConditionExpression: 'attribute_not_exists(pk)' })
+    return isWritten ? 'created' : 'exists'
   }
 
   async replace (row: Row, revision: number): Promise<'replaced' | 'changed'> {
-    const isDone = await this.put(row, {
+    const isWritten = await this.put(row, {
       ConditionExpression: 'revision = :revision',
       ExpressionAttributeValues: { ':revision': { N: String(revision) } }
     })
-    return isDone ? 'replaced' : 'changed'
+    return isWritten ? 'replaced' : 'changed'
   }
 
   async newest (pk: string): Promise<Row | undefined> {
@@ -69,7 +69,7 @@
     return (answer.Items ?? []).map(rowOf)
   }
 
-  /** False when the condition failed, which is proof that nothing was written. */
+  /** Returns false if the condition failed and nothing was written; rejects on all other errors. */
   private async put (row: Row, condition: { ConditionExpression: string, ExpressionAttributeValues?: Record<string, AttributeValue> }): Promise<boolean> {
     try {
       await this.client.send(new PutItemCommand({
--- a/src/shell/platform/hostlist.ts
+++ b/src/shell/platform/hostlist.ts
@@ -1,17 +1,17 @@
-/** The platform's lagging list of live and leaving hosts. */
+/** The platform's list of live and leaving hosts, which may lag behind. */
 
 import type { DataCentreId } from '../../core/id/datacentre.ts'
 import type { HostId } from '../../core/id/host.ts'
 
 interface Host {
   readonly id: HostId
-  /** `ip:port` on which the host's peers reach it. */
+  /** `ip:port` at which the host accepts links from its peers. */
   readonly peers: string
   readonly dataCentre: DataCentreId
   readonly state: 'live' | 'leaving'
 }
 
-/** Rejects when the list can't be had; callers then keep the last one. */
+/** Rejects if the list is unavailable; keep using the previous list then. */
 export interface HostList {
   hosts (): Promise<readonly Host[]>
 }
--- a/src/shell/platform/httphostlist.ts
+++ b/src/shell/platform/httphostlist.ts
@@ -1,4 +1,4 @@
-/** The host list as JSON over HTTP. */
+/** The host list, fetched as JSON over HTTP. */
 
 import * as z from 'zod'
 import type { HostList } from './hostlist.ts'
@@ -10,6 +10,7 @@
   state: z.enum(['live', 'leaving'])
 }))
 
+/** Fetches the list anew with each call; rejects on timeouts and malformed responses. */
 export class HttpHostList implements HostList {
   private constructor (private readonly url: string, private readonly timeoutMs: number) {}
 
@@ -18,7 +19,7 @@
   }
 
   async hosts (): ReturnType<HostList['hosts']> {
-    const res = await fetch(this.url, { signal: AbortSignal.timeout(this.timeoutMs) })
-    return shape.parse(await res.json()) as unknown as Awaited<ReturnType<HostList['hosts']>>
+    const response = await fetch(this.url, { signal: AbortSignal.timeout(this.timeoutMs) })
+    return shape.parse(await response.json()) as unknown as Awaited<ReturnType<HostList['hosts']>>
   }
 }
--- a/src/shell/platform/objectstore.ts
+++ b/src/shell/platform/objectstore.ts
@@ -1,11 +1,11 @@
-/** The platform's object store, as far as agatepond needs it. */
+/** The operations of the platform's object store that the proxy needs. */
 
-/** Every method rejects when the store is down, slow past its timeout or refuses; a `put` may then have taken effect. */
+/** Every method rejects on failures, refusals and timeouts; a `put` may have taken effect nevertheless. */
 export interface ObjectStore {
-  /** Writes the whole object, in place of an older one of that key. Safe to repeat after a lost answer. */
+  /** Writes the whole object, replacing an existing one. Safe to repeat after a lost response. */
   put (key: string, body: Uint8Array): Promise<void>
-  /** The object; undefined when there is none of that key. */
+  /** The object, or undefined if it does not exist. */
   get (key: string): Promise<Uint8Array | undefined>
-  /** Keys that begin with the prefix and come after `after`, in order, at most `most` (up to 1,000). */
+  /** Keys with the prefix that sort after `after`, in ascending order; at most `most` (up to 1,000). */
   list (prefix: string, after: string, most: number): Promise<readonly string[]>
 }
--- a/src/shell/platform/row.ts
+++ b/src/shell/platform/row.ts
@@ -1,9 +1,9 @@
-/** One row of the table service, as agatepond uses it. */
+/** A row of the table service: `pk` is the partition key, `sk` the sort key. */
 
 export interface Row {
   readonly pk: string
   readonly sk: string
-  /** Grows with every replacement; conditions compare it. */
+  /** Increases with every replacement; used for conditional writes. */
   readonly revision: number
   readonly body: string
 }
--- a/src/shell/platform/s3store.ts
+++ b/src/shell/platform/s3store.ts
@@ -1,4 +1,4 @@
-/** The object store by the S3 API. */
+/** The object store over the S3 API. */
 
 import { GetObjectCommand, ListObjectsV2Command, NoSuchKey, PutObjectCommand, S3Client } from '@aws-sdk/client-s3'
 import { NodeHttpHandler } from '@smithy/node-http-handler'
@@ -11,7 +11,7 @@
   readonly timeoutMs: number
 }
 
-/** One bucket, addressed by path. Credentials come from the environment, as the SDK reads them. */
+/** One bucket, with path-style URLs. The SDK reads the credentials from the environment. */
 export class S3Store implements ObjectStore {
   private constructor (private readonly client: S3Client, private readonly bucket: string) {}
 
@@ -40,6 +40,6 @@
     const answer = await this.client.send(new ListObjectsV2Command({
       Bucket: this.bucket, Prefix: prefix, StartAfter: after === '' ? undefined : after, MaxKeys: most
     }))
-    return (answer.Contents ?? []).map(one => one.Key ?? '')
+    return (answer.Contents ?? []).map(object => object.Key ?? '')
   }
 }
--- a/src/shell/platform/storefullerror.ts
+++ b/src/shell/platform/storefullerror.ts
@@ -1,4 +1,4 @@
-/** The object store has no room for another object. */
+/** Thrown by a bounded object store that has no space left for another object. */
 
 export class StoreFullError extends Error {
   constructor () {
--- a/src/shell/queue.ts
+++ b/src/shell/queue.ts
@@ -1,6 +1,6 @@
-/** A queue whose items are pushed by events and taken by one loop. */
+/** An unbounded queue with any number of producers and a single asynchronous consumer. */
 
-/** Ends when closed; what was pushed before is still taken. */
+/** Iteration ends when the queue is closed and empty; items pushed after `close` are ignored. */
 export class AsyncQueue<T> implements AsyncIterable<readonly T[]> {
   private items: T[] = []
   private wake: (() => void) | undefined
@@ -27,7 +27,7 @@
     this.wake?.()
   }
 
-  /** Yields all that was waiting, at least one item at a time. */
+  /** Yields all queued items as one batch, waiting until there is at least one. */
   async * [Symbol.asyncIterator] (): AsyncGenerator<readonly T[]> {
     for (;;) {
       if (this.items.length === 0) {
@@ -36,9 +36,9 @@
         this.wake = undefined
         continue
       }
-      const taken = this.items
+      const batch = this.items
       this.items = []
-      yield taken
+      yield batch
     }
   }
 }
