--- a/src/shell/endpoint/confirmationbatcher.ts
+++ b/src/shell/endpoint/confirmationbatcher.ts
@@ -1,7 +1,4 @@
-/**
- * Confirmations of one endpoint, grouped: one question at a time serves every
- * write that waits for it, so their number doesn't grow with the writes.
- */
+/** Confirms received positions at one endpoint, in batches: one query at a time serves all writes that wait. */
 
 import type { Sample } from '../../core/group/sample.ts'
 import type { Position } from '../../core/id/position.ts'
@@ -16,16 +13,16 @@
   readonly until: number
 }
 
-/** How long one question may wait at the endpoint; a shorter one lets newer questions join sooner. */
+/** How long one query may wait at the endpoint; later confirmations wait for the next query. */
 const QUERY_TIMEOUT_MS = 250
 
-/** Against a loop without rest while the endpoint refuses connections. */
+/** Pause before the next query after one that failed. */
 const RETRY_DELAY_MS = 10
 
 /**
- * Asks rounds of `received` while anybody waits. A question joins only rounds
- * that begin after it. A replica that lags, or a connection that went silent,
- * ends a round and not the wait: the next round opens a new connection.
+ * Calls `received` in a loop while confirmations wait. A confirmation joins the
+ * next query. When a query fails because the replica lags or the connection is
+ * silent, its confirmations join the next one until their own timeout.
  */
 export class ConfirmationBatcher {
   private waiting: PendingConfirmation[] = []
@@ -37,6 +34,7 @@
     return new ConfirmationBatcher(control)
   }
 
+  /** Resolves when the endpoint has received the position in the term; rejects on a refusal, on a newer term or after `ms`. */
   async confirm (term: Term, position: Position, ms: number): Promise<Sample> {
     return await new Promise((resolve, reject) => {
       this.waiting.push({ term, position, resolve, reject, until: performance.now() + ms })
@@ -78,7 +76,7 @@
     else one.reject(new Error('not received in time'))
   }
 
-  private rejectAll (some: readonly PendingConfirmation[], err: Error): void {
-    for (const one of some) one.reject(err)
+  private rejectAll (confirmations: readonly PendingConfirmation[], err: Error): void {
+    for (const one of confirmations) one.reject(err)
   }
 }
--- a/src/shell/endpoint/connection.ts
+++ b/src/shell/endpoint/connection.ts
@@ -1,4 +1,4 @@
-/** One connection to an endpoint. */
+/** A MySQL connection to an endpoint. */
 
 import mysql from 'mysql2'
 import { QueryCommand } from '../mysql/querycommand.ts'
@@ -15,17 +15,17 @@
   readonly connectMs: number
 }
 
-/** A connection that was silent for longer is asked before it's used. */
+/** A connection that received nothing for this long is pinged before it's used. */
 const STALE_AFTER_MS = 1000
 
-/** Runs one statement at a time. Once lost it stays lost. */
+/** Runs one statement at a time. A lost connection is never reopened. */
 export class EndpointConnection {
   isLost = false
   private lastReceivedAt = performance.now()
 
   private constructor (private readonly wire: Wire) {}
 
-  /** Resolves when signed in; rejects when the endpoint refuses or doesn't answer in `connectMs`. */
+  /** Resolves when authenticated; rejects when the endpoint refuses the connection or doesn't answer within `connectMs`. */
   static async open (address: Address): Promise<EndpointConnection> {
     const raw = mysql.createConnection({
       host: address.ip,
@@ -34,7 +34,7 @@
       password: address.password,
       database: address.database,
       connectTimeout: address.connectMs,
-      // Nothing is prepared at endpoints; mysql2 would set half a megabyte aside for it on each connection.
+      // No statements are prepared at endpoints; with its default, mysql2 reserves half a megabyte for them on each connection.
       maxPreparedStatements: 1,
       flags: ['-FOUND_ROWS']
     })
@@ -43,7 +43,7 @@
     await new Promise<void>((resolve, reject) => {
       raw.once('connect', () => resolve())
       raw.once('error', reject)
-      // connectTimeout covers the handshake too: a server that accepts and then stays silent counts as unreachable.
+      // Covers the handshake as well: a server that accepts the connection and then sends nothing counts as unreachable.
       setTimeout(() => reject(new Error('no answer to the handshake')), address.connectMs).unref()
     }).catch((err: unknown) => {
       it.destroy()
@@ -56,12 +56,13 @@
     return it
   }
 
+  /** Runs a statement and passes its result to the sink as it arrives. */
   run (sql: string, sink: QuerySink): void {
     if (this.isLost) return sink.connectionLost(new Error('the connection is lost'))
     this.wire.addCommand(QueryCommand.of(sql, sink))
   }
 
-  /** Runs a statement and collects its answer; for the few statements of the proxy's own. */
+  /** Runs an internal statement and resolves with its rows; rejects with the server's `code` if it returns an error. */
   async ask (sql: string): Promise<readonly Buffer[]> {
     return await new Promise((resolve, reject) => {
       const rows: Buffer[] = []
@@ -76,7 +77,7 @@
     })
   }
 
-  /** Clears what a borrower left on the connection; false when that didn't succeed in `ms`. */
+  /** Resets the session state of the connection; false when that didn't succeed within `ms`. */
   async reset (ms: number): Promise<boolean> {
     if (this.isLost) return false
     return await new Promise(resolve => {
@@ -88,15 +89,15 @@
     })
   }
 
-  /** Whether nothing was heard of it for so long that it may have gone silent. */
+  /** Whether nothing was received for so long that the connection may be dead. */
   get isStale (): boolean {
     return performance.now() - this.lastReceivedAt >= STALE_AFTER_MS
   }
 
   /**
-   * Against a connection that something in between lost track of while nobody
-   * used it: it shows no error, and a statement sent on it is never answered.
-   * When false it's closed.
+   * Pings the server and closes the connection if no answer comes within `ms`.
+   * Finds idle connections that a network device dropped: they show no error,
+   * but statements sent on them are never answered.
    */
   async isResponsive (ms: number): Promise<boolean> {
     if (this.isLost) return false
@@ -113,10 +114,10 @@
   }
 
   /**
-   * Closes at once, without a farewell: what runs on it may still take effect.
-   * Against a wait without end: mysql2's own `destroy` only ends the sending
-   * side and drops the running command unanswered, so on a silent connection
-   * whoever asked would never hear. A destroyed stream fails the command.
+   * Closes the connection at once; a running statement may still take effect.
+   * Destroys the stream, which fails the running command. mysql2's `destroy`
+   * only ends the sending side, and on a silent connection the command would
+   * never complete.
    */
   destroy (): void {
     this.markLost()
--- a/src/shell/endpoint/control.ts
+++ b/src/shell/endpoint/control.ts
@@ -1,4 +1,4 @@
-/** The verbs of an endpoint, over a MySQL connection of their own. */
+/** Calls the control procedures (verbs) of an endpoint over a separate MySQL connection. */
 
 import { TermHistory } from '../../core/termhistory.ts'
 import type { EndpointId } from '../../core/id/endpoint.ts'
@@ -14,9 +14,9 @@
 const ER_SIGNAL = 1644
 
 /**
- * Speaks the verbs that the platform's database groups are assumed to have
- * (docs/ASSUMPTIONS.md). Opens its connection when first used, and a new one
- * after the last was lost or went silent.
+ * Calls the verbs that the platform's database groups are assumed to have
+ * (docs/ASSUMPTIONS.md), one at a time. Connects on first use, and again after
+ * the connection was lost or a call timed out. Calls reject on timeout.
  */
 export class EndpointControl {
   private connection: EndpointConnection | undefined
@@ -49,12 +49,12 @@
     return await this.call(`follow('${primary}',${term})`, ms)
   }
 
-  /** Resolves when the endpoint has received the position in the term; rejects with a refusal when its term is higher, else when the time is over. */
+  /** Resolves when the endpoint has received the position in the term; rejects with a refusal if its term is higher, and on timeout. */
   async received (term: Term, position: Position, ms: number): Promise<Sample> {
     return await this.call(`received(${term},${position},${ms})`, ms + REPLY_MARGIN_MS)
   }
 
-  /** Whether a rejection is the endpoint's own refusal, rather than silence or the end of a wait. */
+  /** Whether the endpoint refused the verb, as opposed to a timeout or a connection error. */
   static isRefusal (err: unknown): boolean {
     return (err as { code?: number }).code === ER_SIGNAL
   }
@@ -64,7 +64,7 @@
     this.connection = undefined
   }
 
-  /** Verbs go one at a time: a connection answers in order, and a late answer must not be taken for the next. */
+  /** Runs verbs one at a time, so that a late answer isn't taken for that of the next verb. */
   private async call (verb: string, ms: number): Promise<Sample> {
     const result = this.last.then(async () => await this.ask(verb, ms))
     this.last = result.catch(() => undefined)
@@ -82,8 +82,8 @@
       if (this.connection === undefined || this.connection.isLost) {
         this.connection = await EndpointConnection.open({ ...this.address, connectMs: ms })
       }
-      // A connection that opens just after the timer would be asked with nothing left to end the wait.
-      if (isLate) throw new Error('the connection opened too late')
+      // If the connection opens after the timer has fired, no timeout would end the call.
+      if (isLate) throw new Error('the connection opened after the timeout')
       const rows = await this.connection.ask(`CALL agatepond.${verb}`)
       return this.sample(rows[0], at)
     } catch (err) {
@@ -112,9 +112,10 @@
   }
 }
 
+/** Time for the answer to arrive after the endpoint's own wait has ended. */
 const REPLY_MARGIN_MS = 200
 
-/** Errors that a server sent carry MySQL's number; those of the connection carry none, or a name. */
+/** Errors that the server sent have a numeric `code`; connection errors have none or a string. */
 function isServerError (err: unknown): boolean {
   return typeof (err as { code?: unknown }).code === 'number'
 }
--- a/src/shell/endpoint/execution.test.ts
+++ b/src/shell/endpoint/execution.test.ts
@@ -1,4 +1,4 @@
-/** Statements, transactions and connections of a slot on a virtual clock. */
+/** Executions on a slot with a virtual clock: statements, transactions and the reuse of connections. */
 
 import { create } from '@bufbuild/protobuf'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
@@ -13,7 +13,7 @@
 const IDLE_TIMEOUT_MS = 1000
 const tx = 'tx-1' as TransactionId
 
-/** A slot with connections that answer when the test says so. */
+/** A slot whose connection answers when the test calls `ok`. */
 class Fixture {
   readonly events: string[] = []
   readonly dones: Array<Pick<Done, 'outcome' | 'reason'>> = []
@@ -50,7 +50,7 @@
     const context = {
       slot: this.slot,
       transactions: this.transactions,
-      cleaner: { used: () => undefined },
+      cleaner: { cleanIfDue: () => undefined },
       confirm: async () => true,
       proveCurrent: async () => this.isCurrent,
       wrote: () => undefined
@@ -82,9 +82,8 @@
   })
   afterEach(() => { vi.useRealTimers() })
 
-  // A station's connection dies while its UPDATE runs. The slot closed the transaction's
-  // connection twice and counted it twice, so it opened more connections than it may.
-  it('closes the connection of a transaction that is released while a statement runs, once', async () => {
+  // Closing the connection twice would count it twice, and the slot would exceed its limit.
+  it('closes the connection once when a transaction is released while a statement runs', async () => {
     await bench.run('BEGIN', run, tx)
     await bench.ok(IN_TRANSACTION)
     await bench.run('UPDATE', run, tx)
@@ -96,8 +95,8 @@
     expect(bench.dones.at(-1)?.reason).toBe('lostTransaction')
   })
 
-  // Two statements of one transaction at once would get each other's answers.
-  it('refuses a second statement while the first runs', async () => {
+  // Two concurrent statements of a transaction would get each other's answers.
+  it('refuses a second statement of a transaction while the first runs', async () => {
     await bench.run('BEGIN', run, tx)
     await bench.ok(IN_TRANSACTION)
     await bench.run('UPDATE a', run, tx)
@@ -108,7 +107,7 @@
     expect(bench.events).toEqual(['BEGIN', 'UPDATE a'])
   })
 
-  it('rolls a transaction back that waits too long for its next statement', async () => {
+  it('rolls back a transaction that is idle for longer than the timeout', async () => {
     await bench.run('BEGIN', run, tx)
     await bench.ok(IN_TRANSACTION)
     await vi.advanceTimersByTimeAsync(IDLE_TIMEOUT_MS)
@@ -117,8 +116,8 @@
     expect(bench.dones.at(-1)?.reason).toBe('lostTransaction')
   })
 
-  // A temporary table or a lock of one transaction shows in the next caller's.
-  it.each([[true, 'lent again'], [false, 'closed']])('lends the connection of a committed transaction only after a reset (%s: %s)', async (isReset, last) => {
+  // Without a reset, temporary tables and locks would leak to the next borrower.
+  it.each([[true, 'lent again'], [false, 'closed']])('reuses the connection of a committed transaction only after a successful reset (%s: %s)', async (isReset, last) => {
     bench.isReset = isReset
     await bench.run('BEGIN', run, tx)
     await bench.ok(IN_TRANSACTION)
@@ -127,8 +126,8 @@
     expect(bench.events).toEqual(['BEGIN', 'COMMIT', last])
   })
 
-  // A read is given up at its deadline; its rows arrive after that and must not be anybody's.
-  it('passes nothing on after the deadline, and never lends the connection again', async () => {
+  // Rows that arrive after the deadline must not reach any caller.
+  it('sends nothing after the deadline and closes the connection', async () => {
     await bench.run('SELECT', RunAccess.READ)
     await vi.advanceTimersByTimeAsync(500)
     const sink = bench.sinks.shift()!
@@ -138,8 +137,8 @@
     expect([bench.events, bench.rows, bench.dones.length]).toEqual([['SELECT', 'closed'], [], 1])
   })
 
-  // A cut-off primary answers a strict read with stale rows.
-  it('sends no strict read without the proof, and no statement without a connection', async () => {
+  // A primary that is cut off from its group would answer a strict read with stale rows.
+  it('refuses a strict read without proof that the primary is current, and a statement without a connection', async () => {
     bench.isCurrent = false
     await bench.run('SELECT', RunAccess.STRICT)
     bench.isReachable = false
@@ -150,7 +149,7 @@
     ]])
   })
 
-  it('passes no rows on after a cancel', async () => {
+  it('sends no rows after a cancel', async () => {
     const execution = await bench.run('SELECT', RunAccess.READ)
     bench.sinks[0]!.row(Buffer.from('waiting'))
     execution.cancel()
--- a/src/shell/endpoint/execution.ts
+++ b/src/shell/endpoint/execution.ts
@@ -1,4 +1,4 @@
-/** Runs one request on a slot, as its `SlotRun` decides. */
+/** Executes one request on a slot: carries out the actions of its `SlotRun` state machine. */
 
 import { create } from '@bufbuild/protobuf'
 import { Done_Outcome as DoneOutcome, DoneSchema, type Run } from '../../gen/peer_pb.ts'
@@ -21,24 +21,24 @@
 const IN_TRANSACTION = 1
 const NO_COUNTS: Counts = { affected: 0, insertId: 0 }
 const RESET_TIMEOUT_MS = 1000
-/** How long an idle connection may take to show that it still works. */
 const PING_TIMEOUT_MS = 500
-/** Bytes of rows that may be under way before the asker gives credit. */
+/** Bytes of rows that may be sent before the frontend gives credit. */
 const INITIAL_CREDIT_BYTES = 256 * 1024
 
+/** One request from its start to its outcome, with flow control of its rows by credit. */
 export class Execution {
   private slotRun: SlotRun
   private readonly spec: ReturnType<typeof runSpecOf>
   private readonly ledgerEntry: LedgerEntry | undefined
   private timer: NodeJS.Timeout | undefined
-  /** Gives up the wait for a connection. */
+  /** Cancels the wait for a connection. */
   private cancelWait: (() => void) | undefined
   private connection: EndpointConnection | undefined
   private remainingCreditBytes = INITIAL_CREDIT_BYTES
   private rows: Buffer[] = []
   private status = 0
   private readonly startedAt = performance.now()
-  /** When to come back, where the slot has said it. */
+  /** The retry delay that the slot's refusal named, else 0. */
   private retryAfterMs = 0
 
   private constructor (
@@ -61,12 +61,14 @@
     return it
   }
 
+  /** Lets so many more bytes of rows be sent. */
   credit (bytes: number): void {
     const wasEmpty = this.remainingCreditBytes <= 0
     this.remainingCreditBytes += bytes
     if (wasEmpty && this.remainingCreditBytes > 0) this.connection?.resume()
   }
 
+  /** Abandons the request; the sink isn't called any more. */
   cancel (): void {
     this.rows = []
     this.handle({ kind: 'cancelled' })
@@ -85,9 +87,9 @@
 
   private end (): void {
     clearTimeout(this.timer)
-    const { cancelWait: giveUp } = this
+    const { cancelWait } = this
     this.cancelWait = undefined
-    giveUp?.()
+    cancelWait?.()
   }
 
   private perform (action: RunAction): void {
@@ -114,11 +116,11 @@
   }
 
   private async obtainConnection (): Promise<void> {
-    const taken = this.req.transaction === ''
+    const pinned = this.req.transaction === ''
       ? undefined
       : this.context.transactions.take(this.transaction, () => this.handle({ kind: 'released' }))
-    if (taken === 'busy') return this.handle({ kind: 'unobtainable', reason: 'notSent', detail: 'another statement of the transaction runs' })
-    if (taken !== undefined) return this.useConnection(taken)
+    if (pinned === 'busy') return this.handle({ kind: 'unobtainable', reason: 'notSent', detail: 'another statement of the transaction runs' })
+    if (pinned !== undefined) return this.useConnection(pinned)
     const { access } = this.spec
     if (access === 'inside' || access === 'commit' || access === 'rollback') {
       return this.handle({ kind: 'unobtainable', reason: 'lostTransaction', detail: '' })
@@ -135,18 +137,18 @@
     }
   }
 
-  /** A connection that answers; one that went silent is closed, and the next one tried. */
+  /** Borrows a connection. A stale one is pinged first; if it doesn't answer, it's closed and the next one is tried. */
   private async borrow (): Promise<EndpointConnection> {
     const { slot } = this.context
     for (;;) {
-      // The request may have ended while a silent connection was asked.
+      // The request may have ended during the ping of a stale connection.
       if (this.slotRun.isOver) throw new Error('the request is over')
       const connection = await slot.borrow({
         class: this.req.class,
         caller: this.req.caller,
         deadlineMs: this.req.deadlineMs - (performance.now() - this.startedAt),
         isTransaction: this.req.transaction !== ''
-      }, giveUp => { this.cancelWait = giveUp })
+      }, cancel => { this.cancelWait = cancel })
       if (!connection.isStale || await connection.isResponsive(PING_TIMEOUT_MS)) return connection
       slot.returnConnection(connection, false)
     }
@@ -222,7 +224,7 @@
     switch (action.kind) {
       case 'done': {
         const { counts, token } = action
-        if (this.ledgerEntry !== undefined) this.context.cleaner.used()
+        if (this.ledgerEntry !== undefined) this.context.cleaner.cleanIfDue()
         return this.sink.done(create(DoneSchema, {
           id,
           outcome: DoneOutcome.DONE,
--- a/src/shell/endpoint/executioncontext.ts
+++ b/src/shell/endpoint/executioncontext.ts
@@ -1,4 +1,4 @@
-/** What runs on a slot share. */
+/** What all executions on a slot share. */
 
 import type { Position } from '../../core/id/position.ts'
 import type { Term } from '../../core/id/term.ts'
@@ -9,11 +9,11 @@
 export interface ExecutionContext {
   readonly slot: Slot
   readonly transactions: Transactions
-  readonly cleaner: Pick<LedgerCleaner, 'used'>
-  /** Whether a second server has received the position in the term. */
+  readonly cleaner: Pick<LedgerCleaner, 'cleanIfDue'>
+  /** Resolves with whether a second server has received the position in the term within `ms`. */
   readonly confirm: (term: Term, position: Position, ms: number) => Promise<boolean>
-  /** Whether this endpoint is still the primary, proved after the call by it and a second server. */
+  /** Resolves with whether this endpoint and a second server confirm, after the call, that it's still the primary. */
   readonly proveCurrent: (ms: number) => Promise<boolean>
-  /** Told of a write before it's acknowledged; see RecentWrites. */
+  /** Called for a write of a session before it's acknowledged; see RecentWrites. */
   readonly wrote: (term: Term, position: Position, session: number) => void
 }
--- a/src/shell/endpoint/failovertimings.ts
+++ b/src/shell/endpoint/failovertimings.ts
@@ -1,4 +1,4 @@
-/** The times of a failover monitor, from the few that are set. */
+/** Derives the timings of a failover monitor from the settings. */
 
 import type { FailoverTimings } from '../../core/failover/timings.ts'
 
@@ -7,12 +7,12 @@
   readonly probeMs: number
 }
 
-/** A round that is under way elsewhere ends by itself within two rounds: one of seals, one of the promotion. */
+/** A failover that another monitor runs takes at most two rounds: seals and promotion. */
 const ORPHAN_ROUNDS = 2
-/** Replicas that copy nothing through so many samples aren't just slow. */
+/** Probe intervals without progress of the replicas after which replication counts as stalled. */
 const STALLED_PROBES = 8
 
-/** Probes of both owners come every `probeMs`: the quiet time covers the counted misses and half a probe more. */
+/** Both owners probe every `probeMs`; the quiet time covers the counted misses and half an interval more. */
 export function failoverTimings ({ pace, probeMs }: TimingSettings): FailoverTimings {
   return {
     ...pace,
--- a/src/shell/endpoint/ledger.test.ts
+++ b/src/shell/endpoint/ledger.test.ts
@@ -1,4 +1,4 @@
-/** The ledger's statements on real SQL. */
+/** The ledger's statements, run on SQLite. */
 
 import initSqlJs from 'sql.js'
 import { describe, expect, it } from 'vitest'
@@ -10,7 +10,7 @@
 const sql = await initSqlJs()
 const HOUR_MS = 60 * 60 * 1000
 
-/** A database with the ledger in it. */
+/** An SQLite database with the ledger table. */
 class Database {
   private readonly db = new sql.Database()
 
@@ -33,7 +33,7 @@
 }
 
 describe('LedgerEntry', () => {
-  it('keeps the counts of the first try', () => {
+  it('stores the counts of the first execution', () => {
     const db = new Database()
     db.do(entry(), 'claim')
     db.do(entry(), 'record')
@@ -41,24 +41,24 @@
   })
 
   it.each([
-    ['same', 'the hints in front of it', entry({ sql: '/* once=kit-1 */ UPDATE reel' })],
+    ['same', 'the statement with hints in front of it', entry({ sql: '/* once=kit-1 */ UPDATE reel' })],
     ['other', 'another statement', entry({ sql: 'UPDATE stock' })],
     ['other', 'a transaction', entry({ access: 'begin', sql: 'BEGIN' })],
-    ['same', 'a question for its outcome', entry({ access: 'settle', sql: '' })]
+    ['same', 'a query for its outcome', entry({ access: 'settle', sql: '' })]
   ])('is %s for %s', (claim, _, again) => {
     const db = new Database()
     db.do(entry(), 'claim')
     expect(again.parseRow(db.do(again, 'lookup'))?.claim).toBe(claim)
   })
 
-  it('refuses a second claim, and not one of another caller', () => {
+  it('refuses a second claim of a key, but not another caller\'s claim of the same key', () => {
     const db = new Database()
     db.do(entry(), 'claim')
     db.do(entry({ caller: 'planner' }), 'claim')
     expect(() => db.do(entry({ access: 'settle' }), 'void')).toThrow(/UNIQUE/)
   })
 
-  it('lets no text of a caller into its SQL', () => {
+  it('keeps the text of a caller out of its SQL', () => {
     const db = new Database()
     const odd = entry({ key: "x'); DROP TABLE agatepond_ledger; --" })
     db.do(odd, 'claim')
@@ -67,7 +67,7 @@
 })
 
 describe('LedgerCleaner', () => {
-  it('removes keys older than a day, when keys are used', async () => {
+  it('deletes keys older than a day when keys are used', async () => {
     const db = new Database()
     for (let i = 0; i < 1200; i++) db.do(entry({ key: `old-${i}` }), 'claim')
     db.do(entry({ at: 10 * HOUR_MS }), 'claim')
@@ -78,7 +78,7 @@
       withConnection: async act => await (work = act({ ask: async text => db.run(text) }))
     })
     now = 25 * HOUR_MS
-    cleaner.used()
+    cleaner.cleanIfDue()
     await work
     expect(db.run('SELECT COUNT(*) FROM agatepond_ledger')[0]?.toString('utf8', 1)).toBe('1')
   })
--- a/src/shell/endpoint/ledger.ts
+++ b/src/shell/endpoint/ledger.ts
@@ -1,4 +1,4 @@
-/** The ledger of idempotency keys: a table of the endpoint, in the database whose effects it guards. */
+/** SQL of the ledger of idempotency keys, a table in the caller's database at the endpoint. */
 
 import { createHash } from 'node:crypto'
 import type { Counts } from '../../core/request/counts.ts'
@@ -11,12 +11,12 @@
 type LedgerStep = Exclude<RunStep, 'statement'>
 
 interface Options {
-  /** The scope of the key: two callers may use one key without meaning one request. */
+  /** The scope of the key: equal keys of two callers are different requests. */
   readonly caller: string
   readonly key: string
   readonly sql: string
   readonly access: 'write' | 'begin' | 'settle'
-  /** Milliseconds since 1970, for the clean-up by age only. */
+  /** Milliseconds since 1970; used only to delete old entries. */
   readonly at: number
 }
 
@@ -25,8 +25,8 @@
 const VOID_FINGERPRINT = 'void'
 
 /**
- * The statements about one key. Key and statement are stored as hashes, so
- * that no text of a caller gets into the proxy's own SQL.
+ * Builds the statements for one key. Key and statement are stored as hashes,
+ * so that no text of a caller becomes part of the proxy's SQL.
  */
 export class LedgerEntry {
   private constructor (
@@ -40,6 +40,7 @@
     return new LedgerEntry(hash(`${caller}\0${key}`), fingerprints[access], at)
   }
 
+  /** The SQL of a step; `counts` are stored by `record`. */
   sql (step: LedgerStep, counts: Counts): string {
     switch (step) {
       case 'begin': return 'BEGIN'
@@ -55,7 +56,7 @@
     }
   }
 
-  /** Reads the answer to `lookup`. */
+  /** Parses the result of `lookup`; undefined when there is no entry. */
   parseRow (rows: readonly Buffer[]): Row {
     if (rows[0] === undefined) return undefined
     const [fingerprint, affected, insertId] = parseTextRow(rows[0])
--- a/src/shell/endpoint/ledgercleaner.ts
+++ b/src/shell/endpoint/ledgercleaner.ts
@@ -1,24 +1,24 @@
-/** Removes old keys from the ledger. */
+/** Deletes expired keys from the ledger. */
 
 import type { EndpointConnection } from './connection.ts'
 import { parseTextRow } from './parsetextrow.ts'
 
 interface Options {
-  /** Lends a connection for the work; rejects when none is free. */
+  /** Runs the work on a borrowed connection; rejects when none is free. */
   readonly withConnection: (work: (connection: Pick<EndpointConnection, 'ask'>) => Promise<void>) => Promise<void>
   /** Milliseconds since 1970. */
   readonly clock: () => number
 }
 
-/** A key protects its request for this long; a try that comes later would run again. */
+/** How long a key prevents a second execution of its request. */
 const RETENTION_MS = 24 * 60 * 60 * 1000
 const CLEAN_INTERVAL_MS = 10 * 60 * 1000
 const BATCH_SIZE = 500
 
 /**
- * Cleans up while keys are in use, a batch at a time. The ids are read first
- * and deleted by primary key, since a delete by age would lock every row that
- * it passes and hold up new claims.
+ * Deletes expired keys in batches while keys are in use. Reads the ids first and
+ * deletes by primary key, since a delete by age would lock every row that it
+ * scans and block new claims.
  */
 export class LedgerCleaner {
   private last: number
@@ -31,12 +31,12 @@
     return new LedgerCleaner(options)
   }
 
-  /** A request under a key is done. */
-  used (): void {
+  /** Called after each request with a key; cleans up if the interval has passed. */
+  cleanIfDue (): void {
     const now = this.options.clock()
     if (now - this.last < CLEAN_INTERVAL_MS) return
     this.last = now
-    // What isn't cleaned now is cleaned next time; a replica or a busy slot refuses.
+    // Fails on a replica or a busy slot; the next clean-up deletes what is left.
     this.options.withConnection(async connection => await deleteExpired(connection, now - RETENTION_MS)).catch(() => undefined)
   }
 }
--- a/src/shell/endpoint/owner.ts
+++ b/src/shell/endpoint/owner.ts
@@ -1,4 +1,4 @@
-/** The owner of one slot: runs requests on it, probes its endpoint, and watches over the group's primary. */
+/** The owner of one slot: runs requests on it, probes its endpoint and monitors the group's primary. */
 
 import { create } from '@bufbuild/protobuf'
 import { ConfirmedSchema, type Confirmed, type Run } from '../../gen/peer_pb.ts'
@@ -24,13 +24,14 @@
 import { VerbRunner } from './verbrunner.ts'
 
 /**
- * Connections of a slot that no statement gets: one for probes, one for
- * confirmations, and one that stays free. Against a failover that fails under
- * load: verbs come over connections of their own, from the owners of other
- * endpoints' slots too, and a server whose slots are used up refuses them.
+ * Connections of a slot that statements can't use: one for probes, one for
+ * confirmations and a spare one, so that a failover also gets a connection
+ * under load. Each failover verb opens its own connection, and the owners of
+ * other endpoints' slots send verbs too.
  */
 const RESERVED_CONNECTIONS = 3
 
+/** Executes requests for the slot, publishes samples of its endpoint and takes part in failovers of the group. */
 export class SlotOwner {
   private readonly slot: Slot
   private readonly transactions: Transactions
@@ -42,7 +43,7 @@
   private monitor: Monitor
   private isReachable = true
   private isLeaving = false
-  /** The last endpoint that was known to be primary. */
+  /** The endpoint that was last known to be the primary. */
   private leader: EndpointId | undefined
   private readonly runningRequests = RunningRequests.create()
 
@@ -83,15 +84,15 @@
   }
 
   /**
-   * Against two monitors of one process that hold slots of one group: under
-   * one name both would get the votes of the same term, and each could promote
-   * another server in it. So each slot is a proposer of its own.
+   * Each slot proposes under a name of its own. Two monitors of one process
+   * with slots of the same group could otherwise both win the same term and
+   * promote different servers in it.
    */
   private get proposer (): string {
     return `${this.options.proposer}/${this.endpoint}`
   }
 
-  /** Says whether the endpoint is to be left. A primary is replaced by a planned hand-over first; then no new work goes to it. */
+  /** Sets whether the endpoint is being removed. A primary is first replaced by a planned handover; after that it gets no new work. */
   setLeaving (isLeaving: boolean): void {
     if (isLeaving === this.isLeaving) return
     this.isLeaving = isLeaving
@@ -99,16 +100,17 @@
   }
 
   run (req: Run, sink: Parameters<SlotPort['run']>[1]): ReturnType<SlotPort['run']> {
-    return this.runningRequests.start(req, sink, taken => Execution.start({
+    return this.runningRequests.start(req, sink, trackedSink => Execution.start({
       slot: this.slot,
       transactions: this.transactions,
       cleaner: this.cleaner,
       confirm: async (term, position, ms) => await this.confirmElsewhere(term, position, ms),
       proveCurrent: async ms => await this.proveCurrent(ms),
       wrote: this.options.onWrote
-    }, req, taken))
+    }, req, trackedSink))
   }
 
+  /** Resolves with `ok` once the endpoint has received the position in the term, and without it on a refusal or after `ms`; never rejects. */
   async confirm (term: Term, position: Position, ms: number): Promise<Confirmed> {
     try {
       const sample = await this.confirmations.confirm(term, position, ms)
@@ -118,14 +120,15 @@
     }
   }
 
+  /** Rolls back an open transaction of this slot. */
   release (transaction: TransactionId): void {
     this.transactions.release(transaction)
   }
 
-  /** Takes in what another process knows of this group's endpoints. */
+  /** Applies a sample that another process took of an endpoint of this group. */
   applySample (sample: Sample): void {
-    // A process hears of all groups. A monitor that took another group's sample would judge by its term and order verbs
-    // to its endpoints, for which it has no address.
+    // Samples of all groups arrive here. Another group's sample would mix up the terms, and verbs would be sent to
+    // endpoints without a known address.
     if (!this.options.addresses.has(sample.endpoint)) return
     if (sample === this.monitor.group.sample(sample.endpoint)) return
     this.handle({ kind: 'learnt', sample })
@@ -138,9 +141,9 @@
   }
 
   /**
-   * Against a primary that is cut off from its group and doesn't know: its
-   * reads are stale while a newer primary takes writes. If neither it nor a
-   * second server was sealed after the read arrived, no majority of three
+   * Proves that this endpoint is still the primary, so that a primary that is
+   * cut off from its group serves no stale reads. If neither it nor a second
+   * server was sealed after the read arrived, no majority of the three servers
    * was, so no newer term had begun.
    */
   private async proveCurrent (ms: number): Promise<boolean> {
@@ -155,17 +158,17 @@
 
   private async probeLoop (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const began = this.options.now()
+      const startedAt = this.options.now()
       await this.probeOnce()
-      const left = this.options.probeMs - (this.options.now() - began)
+      const left = this.options.probeMs - (this.options.now() - startedAt)
       await new Promise(resolve => { setTimeout(resolve, Math.max(1, left)) })
     }
   }
 
   /**
-   * Against a connection that went silent while the server is well: a probe
-   * that fails has closed its connection, so the second one opens a new one,
-   * and only when that fails as well is the endpoint judged.
+   * Probes once and retries once on a new connection (the failed probe closed
+   * the old one), since a silent connection doesn't show that the server is
+   * down. A miss counts only when both fail.
    */
   private async probeOnce (): Promise<void> {
     const { probeTimeoutMs } = this.options
@@ -187,14 +190,14 @@
     this.options.log.write(isReachable ? 'endpointReachable' : 'endpointUnreachable', { endpoint: this.endpoint })
   }
 
-  /** A replica that is leaving is shown as one that can't be reached, so that nothing new is sent to it. */
+  /** Publishes a replica that is being removed as unreachable, so that it gets no new work. */
   private publish (sample: Sample): void {
     this.handle({ kind: 'sampled', sample })
-    const isShunned = this.isLeaving && sample.role !== 'primary'
-    this.options.onSample(isShunned ? sample.with({ reachable: false }) : sample)
+    const isHidden = this.isLeaving && sample.role !== 'primary'
+    this.options.onSample(isHidden ? sample.with({ reachable: false }) : sample)
   }
 
-  /** One owner's miss isn't news while the other owner reaches the endpoint. */
+  /** Publishes the endpoint as unreachable, unless the other owner still reaches it. */
   private publishMiss (): void {
     if (this.monitor.isReached(this.endpoint, this.options.now())) return
     this.options.onSample(this.monitor.group.sample(this.endpoint)!.with({ reachable: false }))
@@ -231,10 +234,10 @@
 
 const TICK_INTERVAL_MS = 20
 
-/** True as soon as one is; false when all are settled and none is. */
-async function anyTrue (some: ReadonlyArray<Promise<boolean>>): Promise<boolean> {
-  return await Promise.any(some.map(async one => {
-    if (!await one) throw new Error('no')
+/** Resolves with true as soon as one of the promises does, with false when all have settled without. */
+async function anyTrue (promises: ReadonlyArray<Promise<boolean>>): Promise<boolean> {
+  return await Promise.any(promises.map(async promise => {
+    if (!await promise) throw new Error('no')
     return true
   })).catch(() => false)
 }
--- a/src/shell/endpoint/parsetextrow.ts
+++ b/src/shell/endpoint/parsetextrow.ts
@@ -1,8 +1,8 @@
-/** Values of a text row of the proxy's own questions. */
+/** Parses rows of MySQL's text protocol in the answers to internal queries. */
 
 const NULL_MARKER = 0xfb
 
-/** The values of a raw text row; the answers read here are far below 64 KiB a value. */
+/** Returns the values of a raw text row; supports lengths of up to three bytes. */
 export function parseTextRow (row: Buffer): readonly (string | null)[] {
   const values: Array<string | null> = []
   let offset = 0
--- a/src/shell/endpoint/runningrequests.ts
+++ b/src/shell/endpoint/runningrequests.ts
@@ -1,4 +1,4 @@
-/** The requests under way on one slot. */
+/** The running requests of one slot. */
 
 import { Run_Access as RunAccess, type Run } from '../../gen/peer_pb.ts'
 import type { ReasonName } from '../../core/reasonname.ts'
@@ -14,7 +14,7 @@
   running?: Running
 }
 
-/** Knows every request that has no outcome yet, so that all can be ended at once. */
+/** Tracks the requests that have no outcome yet, so that all can be ended at once. */
 export class RunningRequests {
   private readonly started = new Set<TrackedRequest>()
 
@@ -24,29 +24,29 @@
     return new RunningRequests()
   }
 
+  /** Starts a request with `run`, whose sink is tracked until the outcome or a cancel. */
   start (req: Run, sink: Sink, run: (sink: Sink) => Running): Running {
-    const one: TrackedRequest = { req, sink }
-    this.started.add(one)
+    const request: TrackedRequest = { req, sink }
+    this.started.add(request)
     const running = run({
       head: columns => sink.head(columns),
       rows: rows => sink.rows(rows),
-      done: done => { if (this.started.delete(one)) sink.done(done) }
+      done: done => { if (this.started.delete(request)) sink.done(done) }
     })
-    one.running = running
+    request.running = running
     return {
       credit: bytes => running.credit(bytes),
       cancel: () => {
-        this.started.delete(one)
+        this.started.delete(request)
         running.cancel()
       }
     }
   }
 
   /**
-   * Against callers that wait for a primary which was replaced: frozen or cut
-   * off, it may never answer, and each would wait until its deadline. Nothing
-   * it does can be acknowledged any more. A write may have run there, so its
-   * outcome is unknown; a read is tried elsewhere.
+   * Ends all requests of a primary that was replaced, since it may never
+   * answer and its results can't be acknowledged any more. The outcome of a
+   * write is unknown, as it may have run; reads are retried elsewhere.
    */
   endAll (): void {
     for (const { req, sink, running } of [...this.started]) {
--- a/src/shell/endpoint/runspecof.ts
+++ b/src/shell/endpoint/runspecof.ts
@@ -1,4 +1,4 @@
-/** Tells what a `Run` frame asks for. */
+/** Converts a `Run` frame to a `RunSpec`. */
 
 import { Run_Access as RunAccess, type Run } from '../../gen/peer_pb.ts'
 import { implicitCommit } from '../../core/request/implicitcommit.ts'
--- a/src/shell/endpoint/slot.ts
+++ b/src/shell/endpoint/slot.ts
@@ -1,4 +1,4 @@
-/** A slot: the right to a number of connections to one endpoint, lent as its admission decides. */
+/** A slot: a bounded connection pool to one endpoint; its admission decides who gets a connection. */
 
 import type { AdmissionEvent } from '../../core/admission/event.ts'
 import type { AdmissionAction } from '../../core/admission/action.ts'
@@ -14,12 +14,12 @@
 type Address = Parameters<typeof EndpointConnection.open>[0]
 
 interface BorrowRequest {
-  /** A name of `classes`; any other counts as normal. */
+  /** One of `classes`; any other value counts as `normal`. */
   readonly class: string
   readonly caller: string
   /** Milliseconds left until the request's deadline. */
   readonly deadlineMs: number
-  /** Whether the connection will be pinned by a transaction. */
+  /** Whether a transaction will pin the connection. */
   readonly isTransaction: boolean
 }
 
@@ -29,10 +29,10 @@
 }
 
 const TICK_INTERVAL_MS = 20
-/** Ticks without work after which the timer rests; enough for the averages to fade. */
+/** Ticks without work after which the timer stops; by then the averages of the admission have decayed. */
 const MAX_IDLE_TICKS = 50
 
-/** Lends its connections, one borrower each. Never opens more than its limit, those being opened included. */
+/** Each connection has at most one borrower. Open connections and those being opened never exceed the limit. */
 export class Slot {
   private readonly admission: Admission
   private readonly idle: EndpointConnection[] = []
@@ -52,22 +52,23 @@
     return new Slot(address, Limits.of(limit), chance)
   }
 
+  /** The number of requests that wait for a connection. */
   get queued (): number {
     return this.admission.queued
   }
 
-  /** Open transactions, each with a connection of its own. */
+  /** The number of open transactions; each pins a connection. */
   get transactions (): number {
     return this.pinned.size
   }
 
   /**
-   * Resolves with a connection that nobody else uses; rejects with a
-   * `SlotRefusal`, or when the request is given up before. `onWait` gets the
-   * call that gives it up, and only when no connection was idle: an AbortSignal
-   * for each request was a tenth of a statement.
+   * Resolves with a connection for exclusive use. Rejects with a `SlotRefusal`,
+   * or with another error when the request is cancelled or the slot is closed.
+   * `onWait` is called only if the request has to wait, with a function that
+   * cancels the request; this is cheaper than an AbortSignal for each request.
    */
-  async borrow (wish: BorrowRequest, onWait: (giveUp: () => void) => void): Promise<EndpointConnection> {
+  async borrow (wish: BorrowRequest, onWait: (cancel: () => void) => void): Promise<EndpointConnection> {
     if (this.isClosed) throw new Error('the slot was given back')
     const id = this.nextId++
     const rank = classes.findIndex(name => name === wish.class)
@@ -87,7 +88,7 @@
     })
   }
 
-  /** Takes a connection back. One that was lost, or may hold state of its borrower, is closed instead of lent again. */
+  /** Returns a borrowed connection. It's closed if it was lost or isn't clean (may hold state of its borrower). */
   returnConnection (connection: EndpointConnection, isClean: boolean): void {
     const id = this.borrowed.get(connection)
     if (id === undefined) return
@@ -118,13 +119,13 @@
     this.waiting.clear()
   }
 
-  /** `gained` is the connection that the event makes idle. */
-  private step (event: AdmissionEvent, gained?: EndpointConnection): void {
+  /** Passes an event to the admission; `released` is the connection that the event makes idle. */
+  private step (event: AdmissionEvent, released?: EndpointConnection): void {
     if (this.isClosed) return
     const now = performance.now() as Instant
     const lost = this.removeLost()
     if (lost > 0) this.performAll(this.admission.step({ kind: 'lost', count: lost }, now, this.chance()))
-    if (gained !== undefined) this.idle.push(gained)
+    if (released !== undefined) this.idle.push(released)
     this.performAll(this.admission.step(event, now, this.chance()))
     this.startTimer()
   }
@@ -151,7 +152,7 @@
     waiter.refuse(new Error('the request was given up'))
   }
 
-  /** Connections that broke while idle must not be counted on, or a request would start on none. */
+  /** Removes idle connections that were lost and returns their number. */
   private removeLost (): number {
     const before = this.idle.length
     for (let i = before - 1; i >= 0; i--) {
--- a/src/shell/endpoint/slotowneroptions.ts
+++ b/src/shell/endpoint/slotowneroptions.ts
@@ -1,4 +1,4 @@
-/** What the owner of a slot is given. */
+/** Options of a `SlotOwner`. */
 
 import type { Confirmed } from '../../gen/peer_pb.ts'
 import type { FailoverAction } from '../../core/failover/action.ts'
@@ -19,21 +19,25 @@
   readonly group: Group
   /** Data and control addresses of every endpoint of the group. */
   readonly addresses: ReadonlyMap<EndpointId, { readonly data: Address, readonly control: Address }>
+  /** Connections of the slot, those reserved for control included. */
   readonly connections: number
-  /** 0 for the slot whose owner judges the endpoint first. */
+  /** Position of the slot in the failover order; 0 acts first. */
   readonly rank: number
   readonly pace: Parameters<typeof failoverTimings>[0]['pace']
+  /** Interval between probes. */
   readonly probeMs: number
   readonly probeTimeoutMs: number
-  /** This process's name as a proposer of terms; unique for the process's life. */
+  /** Name under which this process proposes terms; unique to its incarnation. */
   readonly proposer: string
   readonly now: () => Instant
   readonly chance: () => number
   readonly log: Log
-  /** Asks the owner of another endpoint's slot. */
+  /** Confirms a position through the owner of another endpoint's slot. */
   readonly confirmAt: (endpoint: EndpointId, term: Term, position: Position, ms: number) => Promise<Confirmed>
+  /** Called with each sample that others should know. */
   readonly onSample: (sample: Sample) => void
-  /** Hears of every write on the slot before it's acknowledged to anybody. */
+  /** Called for each write of a session on the slot before the write is acknowledged. */
   readonly onWrote: (term: Term, position: Position, session: number) => void
+  /** Records a promotion. */
   readonly record: (action: Extract<FailoverAction, { kind: 'record' }>) => void
 }
--- a/src/shell/endpoint/transactions.ts
+++ b/src/shell/endpoint/transactions.ts
@@ -1,4 +1,4 @@
-/** The open transactions of one slot: each holds a connection, and runs one statement at a time. */
+/** The open transactions of one slot: each has a connection and runs one statement at a time. */
 
 import type { TransactionId } from '../../core/id/transaction.ts'
 import type { EndpointConnection } from './connection.ts'
@@ -6,14 +6,15 @@
 
 interface OpenTransaction {
   readonly connection: EndpointConnection
-  /** Gives up the statement that runs now; undefined between statements. */
+  /** Aborts the running statement; undefined between statements. */
   stop: (() => void) | undefined
   timer: NodeJS.Timeout | undefined
 }
 
-/** How long a transaction may wait for its next statement before it's rolled back: its locks and its connection are others' too. */
+/** A transaction without a statement for this long is rolled back, so that it doesn't block locks and a connection. */
 const IDLE_TIMEOUT_MS = 60_000
 
+/** Maps transactions to their connections and rolls back idle ones. */
 export class Transactions {
   private readonly open = new Map<TransactionId, OpenTransaction>()
 
@@ -24,8 +25,9 @@
   }
 
   /**
-   * The transaction's connection, for one statement; undefined when the
-   * transaction isn't open here, `busy` while another statement of it runs.
+   * Returns the transaction's connection for one statement; undefined when the
+   * transaction isn't open here, `busy` while another of its statements runs.
+   * `stop` is called if the transaction is released during the statement.
    */
   take (id: TransactionId, stop: () => void): EndpointConnection | 'busy' | undefined {
     const open = this.open.get(id)
@@ -36,7 +38,7 @@
     return open.connection
   }
 
-  /** Holds the connection until the transaction's next statement. */
+  /** Keeps the connection for the transaction's next statement. */
   keep (id: TransactionId, connection: EndpointConnection): void {
     clearTimeout(this.open.get(id)?.timer)
     const timer = setTimeout(() => this.release(id), this.idleTimeoutMs)
@@ -44,7 +46,7 @@
     this.slot.pin(id, connection)
   }
 
-  /** Forgets a transaction whose connection is given back by its last statement. */
+  /** Removes a transaction; the caller returns its connection. */
   end (id: TransactionId): void {
     clearTimeout(this.open.get(id)?.timer)
     this.open.delete(id)
@@ -52,9 +54,9 @@
   }
 
   /**
-   * Rolls a transaction back by closing its connection, which is the one way
-   * that needs no answer. A running statement closes it itself: given back
-   * twice, it would be counted twice against the slot's limit.
+   * Rolls a transaction back by closing its connection, which needs no answer
+   * of the server. If a statement runs, `stop` makes it close the connection;
+   * returning it here too would count it twice against the slot's limit.
    */
   release (id: TransactionId): void {
     const open = this.open.get(id)
--- a/src/shell/endpoint/verbrunner.ts
+++ b/src/shell/endpoint/verbrunner.ts
@@ -1,4 +1,4 @@
-/** Runs the verbs that a failover monitor orders, at any endpoint of its group. */
+/** Runs the verbs that a failover monitor requests at the endpoints of its group. */
 
 import type { FailoverAction } from '../../core/failover/action.ts'
 import type { FailoverEvent } from '../../core/failover/event.ts'
@@ -18,7 +18,7 @@
   readonly log: Log
 }
 
-/** Each verb goes over a connection of its own, which lives no longer than the verb. */
+/** Opens a connection for each verb and closes it afterwards. */
 export class VerbRunner {
   private constructor (private readonly options: Options) {}
 
@@ -26,7 +26,7 @@
     return new VerbRunner(options)
   }
 
-  /** What came of it, for the monitor to hear. */
+  /** Resolves with the event that tells the monitor the result; never rejects. */
   async run (verb: Verb): Promise<FailoverEvent> {
     const { addresses, proposer, now } = this.options
     const control = EndpointControl.create(verb.endpoint, addresses.get(verb.endpoint)!.control, proposer, now)
@@ -40,12 +40,12 @@
   }
 
   private async ask (control: EndpointControl, verb: Verb): Promise<FailoverEvent> {
-    const { probeTimeoutMs: probeMs, verbTimeoutMs: verbMs } = this.options
+    const { probeTimeoutMs, verbTimeoutMs } = this.options
     switch (verb.kind) {
-      case 'probe': return { kind: 'sampled', sample: await control.status(probeMs) }
-      case 'seal': return { kind: 'sealed', term: verb.term, sample: await control.seal(verb.term, verbMs) }
-      case 'promote': return { kind: 'promoted', term: verb.term, sample: await control.promote(verb.term, verbMs) }
-      case 'follow': return { kind: 'sampled', sample: await control.follow(verb.primary, verb.term, verbMs) }
+      case 'probe': return { kind: 'sampled', sample: await control.status(probeTimeoutMs) }
+      case 'seal': return { kind: 'sealed', term: verb.term, sample: await control.seal(verb.term, verbTimeoutMs) }
+      case 'promote': return { kind: 'promoted', term: verb.term, sample: await control.promote(verb.term, verbTimeoutMs) }
+      case 'follow': return { kind: 'sampled', sample: await control.follow(verb.primary, verb.term, verbTimeoutMs) }
     }
   }
 
