--- a/src/shell/caller/answer.ts
+++ b/src/shell/caller/answer.ts
@@ -1,9 +1,9 @@
-/** Tells a caller the outcome of its request in MySQL's terms. */
+/** Sends a request's outcome to the caller as a MySQL OK, end-of-rows or error packet. */
 
 import { Done_Outcome as DoneOutcome, type Done } from '../../gen/peer_pb.ts'
 import type { Reply } from '../mysql/reply.ts'
 
-/** Ends the reply. A refusal names its outcome and, where there is one, the time to come back. */
+/** Ends the reply. The message of a refusal states whether the request ran and, if known, when to retry. */
 export function answerCaller (done: Done, reply: Reply, inTransaction: boolean): void {
   switch (done.outcome) {
     case DoneOutcome.DONE: return succeed(done, reply, inTransaction)
--- a/src/shell/caller/boundrounds.ts
+++ b/src/shell/caller/boundrounds.ts
@@ -1,4 +1,4 @@
-/** The bounds of one group: positions that no acknowledged write lies above, asked for in rounds. */
+/** Determines, in batched rounds, a position of a group that no acknowledged write exceeds. */
 
 import type { Confirmed } from '../../gen/peer_pb.ts'
 import type { EndpointId } from '../../core/id/endpoint.ts'
@@ -10,18 +10,17 @@
 
 type Waiter = (bound: Token | undefined) => void
 
-/** Rounds under way at once: one alone makes a read that just missed it wait for two. */
+/** With a single round, a read that arrives during one would have to wait for two. */
 const MAX_CONCURRENT_ROUNDS = 4
-/** How long a round may take; one that fails is followed by the next. */
 const ROUND_TIMEOUT_MS = 500
 
 /**
- * Asks the primary for its position under proof that no newer term has begun:
- * the primary and a second server of its term both answer after the question.
- * A bound stands for the writes acknowledged before it was asked for, so a
- * read joins only a round that begins after the read arrived. It fills what
- * this process doesn't know of a session on demand, as the upqueries of Noria
- * fill missing state (docs/DESIGN.md, "Sessions and reads").
+ * A round asks all servers of the group to confirm the primary's term. An answer
+ * of the primary and of one other proves that no newer term had begun, and the
+ * primary's position is the bound. It covers every write acknowledged before the
+ * round started, so a read joins only a round that starts after the read arrived.
+ * Used for sessions whose writes may have gone through another process
+ * (docs/DESIGN.md, "Sessions and reads").
  */
 export class BoundRounds {
   private waiting: Waiter[] = []
@@ -34,7 +33,7 @@
     return new BoundRounds(context, group)
   }
 
-  /** Undefined when no bound can be proved within `ms`. */
+  /** Resolves with a bound from a round that starts after this call, or undefined when none is proved within `ms`. */
   async ask (ms: number): Promise<Token | undefined> {
     return await new Promise(resolve => {
       const timer = setTimeout(resolve, ms, undefined)
@@ -46,7 +45,7 @@
     })
   }
 
-  /** What arrives in one turn of the loop shares a round. */
+  /** All requests of one event loop iteration share a round. */
   private schedule (): void {
     if (this.isScheduled || this.waiting.length === 0 || this.running >= MAX_CONCURRENT_ROUNDS) return
     this.isScheduled = true
@@ -55,12 +54,12 @@
 
   private async start (): Promise<void> {
     this.isScheduled = false
-    const joined = this.waiting
+    const waiters = this.waiting
     this.waiting = []
     this.running++
     const bound = await this.round().catch(() => undefined)
     this.running--
-    for (const resolve of joined) resolve(bound)
+    for (const resolve of waiters) resolve(bound)
     this.schedule()
   }
 
@@ -72,11 +71,11 @@
     const at = now()
     const { term } = primary
     const others = group.samples.filter(sample => sample.endpoint !== primary.endpoint)
-    const [own] = await Promise.all([
+    const [primaryAnswer] = await Promise.all([
       this.confirm(primary.endpoint, term),
       Promise.any(others.map(async other => await this.confirm(other.endpoint, term)))
     ])
-    const bound = Token.of(term, own.received)
+    const bound = Token.of(term, primaryAnswer.received)
     groups.addWatermark(this.group, bound, at)
     return bound
   }
@@ -88,11 +87,11 @@
     return answer
   }
 
-  /** The answer tells how far the endpoint's reads are, sooner than the next sample would. */
+  /** Takes the endpoint's positions from the answer instead of waiting for its next sample. */
   private updateSample (endpoint: EndpointId, answer: Confirmed): void {
     const { groups } = this.context
     const known = groups.get(this.group)?.sample(endpoint)
-    // In a term that the last sample doesn't know of, positions may stand for other entries.
+    // Positions of different terms may refer to different log entries.
     if (known === undefined || known.history.term !== answer.term || answer.applied <= known.applied) return
     groups.updateSample(known.with({ applied: answer.applied as Position, received: answer.received as Position }))
   }
--- a/src/shell/caller/connection.ts
+++ b/src/shell/caller/connection.ts
@@ -34,11 +34,11 @@
   readonly once: string
 }
 
-/** Asks for the outcome of an earlier request by its idempotency key. */
+/** Queries the outcome of an earlier request by its idempotency key. */
 const OUTCOME_QUERY = /^\s*show\s+agatepond\s+outcome\s+'([^']+)'\s*;?\s*$/i
-/** Asks for the session's token in the database in use. */
+/** Queries the session's token in the current database. */
 const TOKEN_QUERY = /^select\s+@@agatepond_token\s*;?\s*$/i
-/** Reasons after which no transaction is open. */
+/** Reasons of a refusal that mean that the transaction is no longer open. */
 const TRANSACTION_ENDING_REASONS: ReadonlySet<string> = new Set(['lostTransaction', 'endedTransaction'])
 
 const ER_BAD_DB = 1049
@@ -49,7 +49,7 @@
 export class CallerConnection implements CommandHandler {
   private hints = Hints.none
   private transaction: CallerTransaction | undefined
-  /** The transaction whose BEGIN is under way. */
+  /** The transaction whose BEGIN has not been answered yet. */
   private pendingTransaction: CallerTransaction | undefined
   private readonly statements = new Map<number, PreparedStatement>()
   private nextStatement = 1
@@ -118,29 +118,29 @@
     if (kind === 'set') return this.set(sql, reply)
     if (kind === 'use') return await this.use(sql.replace(/^\s*use\s+/i, '').replace(/[`;\s]/g, ''), reply)
     if (TOKEN_QUERY.test(skipLeadingTrivia(sql))) return this.sendToken(sql, reply, isBinary)
-    const settled = OUTCOME_QUERY.exec(sql)?.[1]
-    if (settled !== undefined) return await this.ask({ sql: '', kind: 'write', once: settled }, reply, isBinary)
+    const queriedKey = OUTCOME_QUERY.exec(sql)?.[1]
+    if (queriedKey !== undefined) return await this.ask({ sql: '', kind: 'write', once: queriedKey }, reply, isBinary)
     if (this.transaction === undefined && (kind === 'commit' || kind === 'rollback')) return reply.ok()
-    const own = Hints.parse(sql)
-    const once = own.withDefaults(this.hints).fields.once ?? ''
-    const reason = refusalReason({ sql, isRead: kind === 'read', once, statementOnce: own.fields.once ?? '' }, this.transaction)
+    const statementHints = Hints.parse(sql)
+    const once = statementHints.withDefaults(this.hints).fields.once ?? ''
+    const reason = refusalReason({ sql, isRead: kind === 'read', once, statementOnce: statementHints.fields.once ?? '' }, this.transaction)
     if (reason !== undefined) return answerCaller(this.refuse({ sql, kind, once }, reason), reply, this.transaction !== undefined)
-    const isKeyed = this.transaction === undefined && (kind === 'write' || kind === 'begin')
-    await this.ask({ sql, kind, once: isKeyed ? once : '' }, reply, isBinary)
+    const takesIdempotencyKey = this.transaction === undefined && (kind === 'write' || kind === 'begin')
+    await this.ask({ sql, kind, once: takesIdempotencyKey ? once : '' }, reply, isBinary)
   }
 
-  /** The token that a caller may bring to another proxy, or keep; empty when the session has written nothing through this one. */
+  /** Sends the session's token, which a caller may present to another proxy; empty when the session has written nothing through this one. */
   private sendToken (sql: string, reply: Reply, isBinary: boolean): void {
     const token = this.reads.token(this.identity, Hints.parse(sql).withDefaults(this.hints))
     writeTextResult(reply, '@@agatepond_token', token.position === 0 ? '' : token.toString(), isBinary)
   }
 
-  /** What isn't admissible goes nowhere, and is on record like any other request. */
-  private refuse (asked: ParsedRequest, reason: ReasonName): Done {
+  /** Builds the refusal of a request before routing, and audits it like any other request. */
+  private refuse (req: ParsedRequest, reason: ReasonName): Done {
     const { context, identity } = this
     const deadline = context.now()
     const done = refusal(0, reason)
-    const trail = context.audit.begin({ ...asked, identity, hints: Hints.parse(asked.sql).withDefaults(this.hints), deadline })
+    const trail = context.audit.begin({ ...req, identity, hints: Hints.parse(req.sql).withDefaults(this.hints), deadline })
     trail.addAttempt({ kind: 'nowhere', reason }, done, deadline)
     return trail.end(done)
   }
@@ -177,7 +177,7 @@
     }
   }
 
-  /** Where the request goes next, or why it goes nowhere. */
+  /** Determines the target of the next attempt, or why there is none. */
   private async target ({ kind, once }: ParsedRequest, hints: Hints, ms: number, avoid: readonly EndpointId[]): Promise<Target> {
     const { transaction } = this
     if (transaction !== undefined) return transaction.target(accessInTransaction(kind))
@@ -195,7 +195,7 @@
     return this.pendingTransaction.target(RunAccess.TRANSACTION)
   }
 
-  /** Takes in what the outcome says of the transaction. One whose BEGIN may have run is rolled back, or it would hold its connection. */
+  /** Updates the transaction state from an outcome. A transaction whose BEGIN may have run is rolled back to free its connection. */
   private after (kind: Kind, done: Done): void {
     if (kind === 'begin') {
       if (done.outcome === DoneOutcome.DONE) this.transaction = this.pendingTransaction
@@ -209,11 +209,11 @@
     this.transaction = undefined
   }
 
-  /** SET works on this proxy: a variable of an endpoint's connection would be another caller's next. */
+  /** Handles SET in the proxy only: endpoint connections are shared, so a variable set on one would leak to other callers. */
   private set (sql: string, reply: Reply): void {
-    const own = /^\s*set\s+@agatepond_(\w+)\s*:?=\s*'([^']*)'\s*;?\s*$/i.exec(sql)
-    if (own !== null) {
-      this.hints = this.hints.with(own[1]!, own[2]!)
+    const assignment = /^\s*set\s+@agatepond_(\w+)\s*:?=\s*'([^']*)'\s*;?\s*$/i.exec(sql)
+    if (assignment !== null) {
+      this.hints = this.hints.with(assignment[1]!, assignment[2]!)
       return reply.ok()
     }
     if (/autocommit\s*=\s*(0|off|false)/i.test(sql)) {
--- a/src/shell/caller/context.ts
+++ b/src/shell/caller/context.ts
@@ -1,4 +1,4 @@
-/** What the connections of callers share in one process. */
+/** Dependencies that all caller connections of a process share. */
 
 import type { Config } from '../../core/config/config.ts'
 import type { DataCentreId } from '../../core/id/datacentre.ts'
@@ -17,14 +17,15 @@
   readonly config: () => Config | undefined
   readonly groups: Groups
   readonly sessions: SessionTable
-  /** The owner of a slot of the endpoint, nearest first; undefined while nobody holds one. */
+  /** The nearest owner of a slot of the endpoint; undefined when no slot has an owner. */
   readonly port: (endpoint: EndpointId) => SlotPort | undefined
-  /** Of this process. */
+  /** The data centre of this process. */
   readonly dataCentre: DataCentreId
-  /** A number in [0, 1) from the process's one seeded generator. */
+  /** Returns a number in [0, 1) from the process's seeded random generator. */
   readonly chance: () => number
+  /** Deadline of requests that name none, in milliseconds from their arrival. */
   readonly deadlineMs: number
-  /** Limits retries over all requests; none when left out. */
+  /** Limits retries over all requests; retries are unlimited without it. */
   readonly retryBudget?: SharedRetryBudget
   readonly now: () => Instant
   readonly metrics: Metrics
--- a/src/shell/caller/groups.ts
+++ b/src/shell/caller/groups.ts
@@ -1,4 +1,4 @@
-/** The groups as this process knows them, and the wait for a change. */
+/** The latest known state of the groups, with a way to wait for changes. */
 
 import type { Group } from '../../core/group/group.ts'
 import type { Sample } from '../../core/group/sample.ts'
@@ -11,10 +11,10 @@
 import { RecentWrites } from '../../core/session/recentwrites.ts'
 import type { Token } from '../../core/token.ts'
 
-/** Notes of writes kept for each group: some seconds of a busy one. */
+/** Write notices kept for each group: some seconds of writes of a busy one. */
 const MAX_WRITE_NOTICES = 4096
 
-/** Holds one immutable `Group` for each id; a sample of an older term never replaces a newer one. */
+/** Holds an immutable `Group` for each id; a sample of an older term never replaces one of a newer term. */
 export class Groups {
   private readonly groups = new Map<GroupId, Group>()
   private readonly groupIds = new Map<EndpointId, GroupId>()
@@ -37,6 +37,7 @@
     for (const { endpoint } of group.samples) this.groupIds.set(endpoint, group.id)
   }
 
+  /** Takes in a sample of an endpoint; ignores one of an unknown endpoint or an older term. */
   updateSample (sample: Sample): void {
     const group = this.groups.get(this.groupIds.get(sample.endpoint)!)
     const known = group?.sample(sample.endpoint)
@@ -45,7 +46,7 @@
     this.notifyWaiters()
   }
 
-  /** What this process has proved of the primary's progress. */
+  /** The group's bounds with the times they were asked for. */
   watermarks (id: GroupId): Watermarks {
     return this.watermarksByGroup.get(id) ?? Watermarks.empty
   }
@@ -54,7 +55,7 @@
     this.watermarksByGroup.set(id, this.watermarks(id).with(bound, at))
   }
 
-  /** Which session made each recent write. */
+  /** The group's recent writes with their sessions. */
   recentWrites (id: GroupId): RecentWrites {
     const known = this.recentWritesByGroup.get(id)
     if (known !== undefined) return known
@@ -63,7 +64,7 @@
     return writes
   }
 
-  /** Takes in a slot owner's note of a write. */
+  /** Records a write notice; `session` is the fingerprint of the session that wrote. */
   addWriteNotice (endpoint: EndpointId, term: Term, position: Position, session: number): void {
     const id = this.groupIds.get(endpoint)
     if (id === undefined) return
@@ -71,7 +72,7 @@
     this.notifyWaiters()
   }
 
-  /** Resolves when anything was learnt, or after `ms`. */
+  /** Resolves at the next sample or write notice of any group, at the latest after `ms`. */
   async waitForChange (ms: number): Promise<void> {
     await new Promise<void>(resolve => {
       const settle = (): void => {
@@ -85,6 +86,6 @@
   }
 
   private notifyWaiters (): void {
-    for (const wake of [...this.waiting]) wake()
+    for (const notify of [...this.waiting]) notify()
   }
 }
--- a/src/shell/caller/identity.ts
+++ b/src/shell/caller/identity.ts
@@ -1,4 +1,4 @@
-/** Who a caller's connection belongs to, and which database it uses. */
+/** The caller, pool, session and current database of a connection. */
 
 import type { Config } from '../../core/config/config.ts'
 import type { SessionId } from '../../core/id/session.ts'
@@ -8,6 +8,6 @@
   readonly group: Config['groups'][number]
   readonly caller: string
   readonly session: SessionId
-  /** Whether the caller named the session, which may then use other connections and proxies too. */
+  /** Whether the caller named the session, which it may then use on other connections and proxies too. */
   readonly isNamed: boolean
 }
--- a/src/shell/caller/refusalreason.ts
+++ b/src/shell/caller/refusalreason.ts
@@ -1,4 +1,4 @@
-/** Requests that the proxy refuses before it routes them, because no outcome of theirs could be told truly. */
+/** Finds requests to refuse before routing, because their outcome could not be determined reliably. */
 
 import type { ReasonName } from '../../core/reasonname.ts'
 import { implicitCommit } from '../../core/request/implicitcommit.ts'
@@ -7,13 +7,13 @@
 interface ParsedRequest {
   readonly sql: string
   readonly isRead: boolean
-  /** The key of the connection or the request; empty without one. */
+  /** The idempotency key of the statement, else of the connection; empty without one. */
   readonly once: string
-  /** The key of the request itself. */
+  /** The idempotency key in the statement's own hints; empty without one. */
   readonly statementOnce: string
 }
 
-/** Why the request can't be taken; undefined when it can. */
+/** The reason to refuse the request; undefined when it is acceptable. */
 export function refusalReason ({ sql, isRead, once, statementOnce: ownOnce }: ParsedRequest, transaction: CallerTransaction | undefined): ReasonName | undefined {
   const commits = implicitCommit(sql)
   if (transaction !== undefined) {
--- a/src/shell/caller/relay.ts
+++ b/src/shell/caller/relay.ts
@@ -1,4 +1,4 @@
-/** Relays one answer from a slot owner to a caller. */
+/** Relays the result of one request from a slot owner to a caller. */
 
 import { create } from '@bufbuild/protobuf'
 import { RunSchema, type Done, type Run } from '../../gen/peer_pb.ts'
@@ -10,10 +10,10 @@
 type Request = Omit<Run, '$typeName' | 'id' | '$unknown'>
 
 /**
- * Runs a request and passes its rows on as they come. Credit is given back
- * only for what the caller has taken, so a slow caller holds up its own
- * endpoint connection and no more than a window of memory. `onRunning` gets the call that gives the
- * request up, to be made when its caller is gone.
+ * Runs a request and forwards its rows as they arrive. Credit is granted only
+ * for rows that the caller has consumed, so a slow caller blocks its own
+ * endpoint connection and buffers at most one credit window. `onRunning`
+ * receives the function that cancels the request when the caller disconnects.
  */
 export async function relay (port: SlotPort | undefined, request: Request, reply: Reply, isBinary: boolean, onRunning: (cancel: () => void) => void): Promise<Done> {
   if (port === undefined) return refusal(0, 'noSlotOwner')
@@ -32,7 +32,7 @@
       },
       done: resolve
     })
-    // The caller is gone: nobody is left to take the answer, so its connection must not be used for another's.
+    // The caller is gone, and the unread result makes the endpoint connection unusable for other requests.
     onRunning(() => {
       running.cancel()
       resolve(refusal(0, 'lost', 'the caller closed its connection'))
--- a/src/shell/caller/requestrun.ts
+++ b/src/shell/caller/requestrun.ts
@@ -1,4 +1,4 @@
-/** Runs the attempts of one request, as its `Attempts` decide. */
+/** Runs one request: routes, sends, retries and cancels its attempts as the state machine `Attempts` decides. */
 
 import { randomUUID } from 'node:crypto'
 import { Done_Outcome as DoneOutcome, Run_Access as RunAccess, type Done } from '../../gen/peer_pb.ts'
@@ -23,19 +23,19 @@
 
 interface Request {
   readonly sql: string
-  /** What the statement is, for the metrics. */
+  /** The kind of statement, as a metric label. */
   readonly kind: string
   readonly identity: Identity
   readonly hints: Hints
   /** The idempotency key; empty for a request without one. */
   readonly once: string
   readonly spec: RequestSpec
-  /** Whether the caller asked in the binary protocol. */
+  /** Whether the caller expects rows in the binary protocol. */
   readonly isBinary: boolean
   readonly target: (ms: number, avoid: readonly EndpointId[]) => Promise<Target>
 }
 
-/** Resolves with the request's outcome. The signal is the caller's leaving. */
+/** Resolves with the request's outcome. `signal` aborts when the caller disconnects. */
 export async function runRequest (context: CallerContext, req: Request, reply: Reply, signal: AbortSignal): Promise<Done> {
   return await new Promise(resolve => RequestRun.start(context, req, reply, signal, resolve))
 }
@@ -46,13 +46,13 @@
   private attempts: Attempts
   private target: Target | undefined
   private last: Done | undefined
-  /** Gives up the newest attempt. */
+  /** Cancels the latest attempt. */
   private cancel: (() => void) | undefined
   private timer: NodeJS.Timeout | undefined
   private readonly request = randomUUID()
   private readonly trail: ReturnType<Audit['begin']>
   private attemptStartedAt: Instant
-  /** The newest attempt has no answer yet. */
+  /** Whether the latest attempt was sent and has no answer yet. */
   private isAwaitingAnswer = false
   private readonly onCallerLeft = (): void => this.handleEvent({ kind: 'left' })
 
@@ -161,7 +161,7 @@
   }
 }
 
-/** Adds the time to come back to a refusal that has none. */
+/** Adds a retry delay to a refusal that has none. */
 function withRetryAfter (done: Done, retryAfterMs: number): Done {
   return done.outcome === DoneOutcome.NOT_RUN && done.retryAfterMs === 0 ? { ...done, retryAfterMs } : done
 }
--- a/src/shell/caller/sessionreadrouter.test.ts
+++ b/src/shell/caller/sessionreadrouter.test.ts
@@ -1,4 +1,4 @@
-/** A proxy's reads before a group whose replicas lag, and sessions that roam. */
+/** Read routing with lagging replicas, and with sessions that write through several proxies. */
 
 import { create } from '@bufbuild/protobuf'
 import { describe, expect, it } from 'vitest'
@@ -23,10 +23,10 @@
 import { SessionReadRouter } from './sessionreadrouter.ts'
 
 const IDS = ['e1', 'e2', 'e3'].map(id => id as EndpointId)
-/** Each look at the clock is so much later, so that no read waits for a lagging replica. */
+/** The clock advances by this at each reading, so that no read waits for a lagging replica. */
 const STEP_MS = 20
 
-/** One proxy before a group whose primary e1 is at `position` and whose replicas have applied `applied`. */
+/** A proxy of a group with primary e1 at `position` and replicas that have applied `applied`. */
 class Proxy {
   now = 0
   position = 10
@@ -74,26 +74,23 @@
 }
 
 describe('Reads', () => {
-  // Somebody wrote an instant ago and replicas lag. Nothing says that it was
-  // this session, and nothing says that it wasn't, until the note of that
-  // write has come.
-  it('sends a named session to a replica only when the notes clear it', async () => {
+  // A recent write that replicas lack may be the session's own until its write notice names another session.
+  it('sends a named session to a lagging replica only when write notices show that the missing writes are not its own', async () => {
     const proxy = new Proxy(true, 9)
     expect(await proxy.read()).toBe('strict')
     proxy.groups.addWriteNotice(IDS[0]!, 1 as Term, 10 as Position, 12345)
     expect(await proxy.read()).toBe('read')
   })
 
-  it('sends a connection that has written nothing to a replica, however far behind', async () => {
+  it('sends an unnamed session to a lagging replica until it has written', async () => {
     const proxy = new Proxy(false, 2)
     expect(await proxy.read()).toBe('read')
     proxy.reads.wrote(proxy.identity, Hints.none, Token.of(1, 10))
     expect(await proxy.read()).toBe('strict')
   })
 
-  // The read arrives while a round is under way whose answer may have been
-  // given before a write that this session has just made elsewhere.
-  it('never shares a bound that was asked for before the read arrived', async () => {
+  // The running round may have been answered before a write that the session made through another proxy.
+  it('never uses a bound whose round started before the read arrived', async () => {
     const proxy = new Proxy(true, 10)
     const first = proxy.read()
     await new Promise(resolve => setImmediate(resolve))
@@ -105,9 +102,8 @@
     expect(proxy.rounds).toBe(2)
   })
 
-  // The primary is cut off with a write that nobody has confirmed, the bound
-  // still counts it, and a new term begins below before the read is routed.
-  it('calls nothing lost that was never acknowledged', async () => {
+  // The bound includes an unacknowledged write, and a new term that lacks it begins before the read is routed.
+  it('does not report a write as lost that was never acknowledged', async () => {
     const proxy = new Proxy(true, 9)
     proxy.beforeAnswer = () => {
       proxy.groups.updateSample(sample(IDS[1]!, 'primary', 9, 2, 9))
@@ -116,10 +112,8 @@
     expect(await proxy.read()).toBe('noPrimary')
   })
 
-  // Connections without a name browse at 2 s. Nobody else asks for bounds, so
-  // the one mark grows old; replicas lag, and when it no longer proves the age
-  // every read goes to the primary until they have caught up with a new one.
-  it('asks for the next mark before the last is too old', async () => {
+  // With an expired watermark, every read of bounded staleness goes to the primary until replicas reach the next.
+  it('refreshes the watermark before it is too old for the reads', async () => {
     const proxy = new Proxy(false, 10)
     const browse = Hints.none.with('read', 'browse')
     expect([await proxy.read(browse), proxy.rounds]).toEqual(['read', 1])
@@ -130,9 +124,8 @@
     expect(proxy.rounds).toBe(2)
   })
 
-  // The operator accepted acknowledgement by the primary alone; it fails, and
-  // the new term starts below the session's last write.
-  it('tells a session once of a lost write', async () => {
+  // The primary alone acknowledged the write and failed; the new term starts below it.
+  it('reports a lost write to its session exactly once', async () => {
     const proxy = new Proxy(false, 10)
     proxy.reads.wrote(proxy.identity, Hints.none, Token.of(1, 12))
     proxy.groups.updateSample(sample(IDS[1]!, 'primary', 10, 2, 10))
--- a/src/shell/caller/sessionreadrouter.ts
+++ b/src/shell/caller/sessionreadrouter.ts
@@ -1,4 +1,4 @@
-/** The way of a read: what its session must see, and the endpoint that shows it. */
+/** Routes reads: determines the position that a session requires and picks an endpoint that has reached it. */
 
 import { Run_Access as RunAccess } from '../../gen/peer_pb.ts'
 import { replicaEvidence } from '../../core/audit/replicaevidence.ts'
@@ -19,27 +19,27 @@
 import type { Identity } from './identity.ts'
 import type { Target } from './target.ts'
 
-/** The share of a stated age after which the next mark is asked for. */
+/** Share of a read's maximum staleness after which the watermark is refreshed. */
 const WATERMARK_REFRESH_SHARE = 0.25
 
-/** One read on its way. */
+/** A read that is being routed. */
 interface Read {
   readonly group: GroupId
   readonly session: SessionId
   readonly freshness: Freshness
   readonly known: Token
-  /** Asked for after the read arrived; undefined for a session that writes nowhere else. */
+  /** Determined after the read arrived; undefined for a session that writes through this process only. */
   readonly bound: Token | undefined
   readonly near: ReadonlySet<EndpointId>
-  /** Endpoints that an earlier attempt of the same read could not reach. */
+  /** Endpoints that an earlier attempt of this read could not reach. */
   readonly avoid: readonly EndpointId[]
   readonly since: Instant
 }
 
-/** Routes the reads of all callers of a process, and keeps what their sessions have written. */
+/** Routes the reads of all callers of this process and records the writes of their sessions. */
 export class SessionReadRouter {
   private readonly rounds = new Map<GroupId, BoundRounds>()
-  /** The near endpoints of a configuration's groups. */
+  /** Endpoints in this process's data centre, by configured group. */
   private readonly nearEndpoints = new WeakMap<Identity['group'], ReadonlySet<EndpointId>>()
 
   private constructor (private readonly context: CallerContext) {}
@@ -48,17 +48,17 @@
     return new SessionReadRouter(context)
   }
 
-  /** `ms` is what is left until the read's deadline; `avoid` lists endpoints that could not be reached just now. */
+  /** `ms` is the time left until the read's deadline; `avoid` lists endpoints that an earlier attempt could not reach. */
   async route (identity: Identity, hints: Hints, ms: number, avoid: readonly EndpointId[] = []): Promise<Target> {
     const since = this.context.now()
     const group = identity.group.id
     const bound = mayWriteElsewhere(identity, hints) ? await this.boundRoundsOf(group).ask(ms) : undefined
-    // Where nothing can be proved of the session's writes elsewhere, only a strict read is safe.
-    const isBlind = mayWriteElsewhere(identity, hints) && bound === undefined
+    // Without a bound, the session's writes through other processes are unknown, so only a strict read is safe.
+    const isBoundMissing = mayWriteElsewhere(identity, hints) && bound === undefined
     return await this.place({
       group,
       session: sessionOf(identity, hints),
-      freshness: isBlind ? { kind: 'strict' } : freshnessOf(identity, hints),
+      freshness: isBoundMissing ? { kind: 'strict' } : freshnessOf(identity, hints),
       known: this.token(identity, hints),
       bound,
       near: this.near(identity),
@@ -67,13 +67,13 @@
     }, ms)
   }
 
-  /** Takes in an acknowledged write of the session. */
+  /** Records an acknowledged write of the session. */
   wrote (identity: Identity, hints: Hints, token: Token): void {
     const { sessions } = this.context
     sessions.set(sessions.get(sessionOf(identity, hints)).with(identity.group.id, token))
   }
 
-  /** The newest write that is known of the session: by this process or from the caller. */
+  /** The latest write of the session that this process recorded or the caller named in its token hint. */
   token (identity: Identity, hints: Hints): Token {
     const known = this.context.sessions.get(sessionOf(identity, hints)).token(identity.group.id)
     return known.max(hints.fields.token ?? Token.zero)
@@ -87,9 +87,9 @@
       const group = read.avoid.reduce(withoutReplica, known)
       const writes = groups.recentWrites(read.group)
       const token = requiredToken({ ...read, group, writes, session: fingerprint(read.session) })
-      const isNoteDue = read.bound !== undefined && writes.findGap(read.bound, group.minApplied) !== undefined
+      const isWriteNoticeMissing = read.bound !== undefined && writes.findGap(read.bound, group.minApplied) !== undefined
       const route = routeRead({
-        ...read, group, token, watermarks: groups.watermarks(read.group), now: now(), chance: this.context.chance(), isRefreshed, isWriteNoticePending: isNoteDue
+        ...read, group, token, watermarks: groups.watermarks(read.group), now: now(), chance: this.context.chance(), isRefreshed, isWriteNoticePending: isWriteNoticeMissing
       })
       switch (route.kind) {
         case 'lost': return this.reportLostWrite(read)
@@ -113,26 +113,26 @@
   }
 
   /**
-   * Asks for the next mark while the last still proves the age. Against reads
-   * of a stated age that all go to the primary once in that time: when the
-   * last mark is too old, replicas need their whole lag to reach the next.
+   * Refreshes the watermark while the current one still satisfies the maximum
+   * staleness. If it expired first, all such reads would go to the primary
+   * until the replicas had caught up with the next watermark.
    */
   private refreshWatermark ({ group, freshness }: Read, ms: number): void {
     if (freshness.kind !== 'age') return
     const { newest } = this.context.groups.watermarks(group)
-    const isYoung = newest !== undefined && this.context.now() - newest < freshness.ms * WATERMARK_REFRESH_SHARE
-    if (!isYoung) this.boundRoundsOf(group).ask(ms)
+    const isRecent = newest !== undefined && this.context.now() - newest < freshness.ms * WATERMARK_REFRESH_SHARE
+    if (!isRecent) this.boundRoundsOf(group).ask(ms)
   }
 
   /**
-   * A session is told once that a write of it was lost, and then goes on with
-   * what the new term kept: it would be refused for ever otherwise.
+   * Reports a lost write to the session once. The session then continues from
+   * the start of the new term, or all its later reads would be refused too.
    */
   private reportLostWrite ({ group, session, known }: Read): Target {
     const { groups, sessions } = this.context
     const history = groups.get(group)!.history
-    // Against a failover between the bound and this step: what lies past the fork then is the bound, which
-    // holds writes that were never acknowledged. None of the session's is lost, and the next try asks again.
+    // After a failover since the bound was determined, only the bound lies past the fork: it may include
+    // writes that were never acknowledged. The session lost none of its own, and the next attempt gets a new bound.
     if (history.contains(known.term, known.position)) return { kind: 'nowhere', reason: 'noPrimary' }
     const fork = history.startAfter(known.term)
     if (fork !== undefined) sessions.set(sessions.get(session).with(group, Token.of(fork.term, fork.position)))
@@ -161,9 +161,9 @@
 }
 
 /**
- * Whether the session may have written through another process. What a caller
- * brings as its token covers its writes, and a connection without a session's
- * name is its own session.
+ * Whether the session may have written through another process. A token from
+ * the caller covers all of the session's writes, and an unnamed session exists
+ * on one connection only.
  */
 function mayWriteElsewhere (identity: Identity, hints: Hints): boolean {
   if (freshnessOf(identity, hints).kind === 'strict') return false
@@ -171,7 +171,7 @@
   return isNamed && hints.fields.token === undefined
 }
 
-/** A replica that failed an earlier attempt is passed over, though its last sample still says that it answers. */
+/** Marks a replica as unreachable for this read: an earlier attempt failed there after its latest sample. The primary is left as it is. */
 function withoutReplica (group: Group, endpoint: EndpointId): Group {
   const sample = group.sample(endpoint)
   return sample?.role === 'replica' ? group.with(sample.with({ reachable: false })) : group
--- a/src/shell/caller/transaction.ts
+++ b/src/shell/caller/transaction.ts
@@ -1,4 +1,4 @@
-/** The open transaction of a caller's connection. */
+/** A transaction on a caller's connection. */
 
 import { randomUUID } from 'node:crypto'
 import { Run_Access as RunAccess } from '../../gen/peer_pb.ts'
@@ -8,15 +8,15 @@
 import type { Target } from './target.ts'
 
 /**
- * Stays with the slot owner that ran its BEGIN: another owner of the same
- * endpoint has other connections, and would know nothing of it.
+ * A transaction is bound to the slot owner that ran its BEGIN, since that owner
+ * holds the endpoint connection on which the transaction is open.
  */
 export class CallerTransaction {
   private constructor (
     readonly id: TransactionId,
     private readonly endpoint: EndpointId,
     private readonly port: SlotPort,
-    /** The idempotency key that its BEGIN claimed; empty without one. */
+    /** The idempotency key of its BEGIN; empty without one. */
     readonly once: string
   ) {}
 
@@ -24,10 +24,12 @@
     return new CallerTransaction(randomUUID() as TransactionId, endpoint, port, once)
   }
 
+  /** The target of the transaction's next statement. */
   target (access: RunAccess): Target {
     return { kind: 'endpoint', endpoint: this.endpoint, access, transaction: this.id, port: this.port }
   }
 
+  /** Asks the slot owner to roll back and release the connection. */
   rollBack (): void {
     this.port.release(this.id)
   }
--- a/src/shell/peer/hop.test.ts
+++ b/src/shell/peer/hop.test.ts
@@ -1,4 +1,4 @@
-/** Frames between processes that come late, twice, cut or out of order. */
+/** Frames between processes that arrive late, twice, incomplete or out of order. */
 
 import { createServer, type Http2Server, type ServerHttp2Session } from 'node:http2'
 import type { AddressInfo } from 'node:net'
@@ -16,8 +16,8 @@
 
 const log = { write: () => undefined } as unknown as Log
 const times = { heartbeatIntervalMs: 20, silenceTimeoutMs: 200, retryIntervalMs: 10 }
-/** What a link tells its process besides answers; not looked at here. */
-const deaf = { onSample: ignore, onWrote: ignore, onLinked: ignore, onLost: ignore, onActivity: ignore, onHeld: ignore, onConfig: ignore }
+/** Callbacks of a link that these tests ignore. */
+const ignoredCallbacks = { onSample: ignore, onWrote: ignore, onLinked: ignore, onLost: ignore, onActivity: ignore, onHeld: ignore, onConfig: ignore }
 const hello: Frame['body'] = { case: 'hello', value: create(HelloSchema, { host: 'b', incarnation: '1' }) }
 const done = (id: number): Frame['body'] => ({ case: 'done', value: create(DoneSchema, { id, outcome: DoneOutcome.DONE }) })
 const rows = (id: number, text: string): Frame['body'] => ({ case: 'rows', value: create(RowsSchema, { id, rows: [Buffer.from(text)] }) })
@@ -29,7 +29,7 @@
   stop = new AbortController()
 })
 
-/** A peer that answers each request with the frames that the test says. */
+/** Starts a peer that answers each request with the frames from `answer`, and a link to it. */
 async function peer (answer: (id: number, nth: number) => readonly Frame['body'][] | 'break'): Promise<{ link: PeerLink }> {
   const sessions = new Set<ServerHttp2Session>()
   let nth = 0
@@ -52,12 +52,12 @@
     for (const session of sessions) session.destroy()
   })
   const { port } = server.address() as AddressInfo
-  const link = PeerLink.open({ ...times, silenceTimeoutMs: 5000, address: `127.0.0.1:${port}`, self: 'a' as HostId, peer: 'b' as HostId, incarnation: '1', log, ...deaf }, stop.signal)
+  const link = PeerLink.open({ ...times, silenceTimeoutMs: 5000, address: `127.0.0.1:${port}`, self: 'a' as HostId, peer: 'b' as HostId, incarnation: '1', log, ...ignoredCallbacks }, stop.signal)
   await until(() => link.isLinked)
   return { link }
 }
 
-/** Runs one request and collects all that its sink hears. */
+/** Runs one request and collects the calls of its sink. */
 async function ask (link: PeerLink, heard: string[] = []): Promise<string[]> {
   await new Promise<Done>(resolve => link.run(create(RunSchema, { sql: 'SELECT 1' }), {
     head: () => heard.push('head'),
@@ -71,9 +71,8 @@
 }
 
 describe('PeerLink', () => {
-  // Frames that are late, doubled or meant for nobody arrive between those of two requests.
-  // Each caller must get its own answer, once, and nothing after its end.
-  it('gives each request its own answer only', async () => {
+  // Late, duplicate and stray frames must not reach another request or one that has ended.
+  it('delivers to each request only its own frames', async () => {
     const { link } = await peer((id, nth) => nth === 0
       ? [head(id), rows(id, 'first'), rows(id + 7, 'stray'), done(id), done(id), rows(id, 'late')]
       : [head(id), rows(id - 1, 'late'), rows(id, 'second'), done(id - 1), done(id)])
@@ -83,22 +82,22 @@
     expect(first).toEqual(['head', 'first', 'done'])
   })
 
-  // A slot owner dies after a part of a result. A short list that looks whole would be taken for all there is.
-  it('ends a result that is cut by the loss of the link as lost, and takes no old answer after it', async () => {
+  // A slot owner fails in the middle of a result: the partial result must not look complete.
+  it('ends an incomplete result as lost when the link breaks, and ignores later frames for it', async () => {
     const { link } = await peer((id, nth) => nth === 0 ? [head(id), rows(id, 'part')] : nth === 1 ? 'break' : [done(1), rows(1, 'old'), done(id)])
     const cut: string[] = []
-    const whole = ask(link, cut)
+    const firstRequest = ask(link, cut)
     await until(() => cut.includes('part'))
     expect(await ask(link)).toEqual(['lost'])
-    expect(await whole).toEqual(['head', 'part', 'lost'])
+    expect(await firstRequest).toEqual(['head', 'part', 'lost'])
     await until(() => link.isLinked)
     expect(await ask(link)).toEqual(['done'])
     expect(cut).toEqual(['head', 'part', 'lost'])
   })
 })
 
-describe('PeerLink after four thousand million requests', () => {
-  it('begins its ids again and passes over those in use', async () => {
+describe('PeerLink after 2^32 requests', () => {
+  it('wraps its ids around and skips those in use', async () => {
     const ids: number[] = []
     const { link } = await peer(id => {
       ids.push(id)
@@ -115,9 +114,8 @@
 })
 
 describe('PeerServer', () => {
-  // A proxy freezes, is given up, and what it had queued arrives after that. A BEGIN that
-  // ran then would hold its connection for good: nobody would ever release it.
-  it('runs nothing that arrives after the link was given up', async () => {
+  // Queued frames of a frozen peer arrive after its link was closed: the connection of a BEGIN run then would never be released.
+  it('ignores frames that arrive after the link was closed', async () => {
     const events: string[] = []
     const slots: SlotPort = {
       run: req => {
@@ -133,19 +131,18 @@
     const answers = createClient(Peer, createGrpcTransport({ baseUrl: `http://127.0.0.1:${port}` })).link(batches(out), { signal: stop.signal })
     out.push(hello)
     out.push({ case: 'run', value: create(RunSchema, { id: 1, sql: 'BEGIN', transaction: 'tx-1' }) })
-    const given = answers[Symbol.asyncIterator]()
-    while (!(await given.next()).done) { /* until the server gives the silent link up */ }
+    const answerIterator = answers[Symbol.asyncIterator]()
+    while (!(await answerIterator.next()).done) { /* until the server closes the silent link */ }
     out.push({ case: 'run', value: create(RunSchema, { id: 2, sql: 'LATE', transaction: 'tx-2' }) })
     out.push({ case: 'release', value: create(ReleaseSchema, { transaction: 'tx-3' }) })
     await new Promise(resolve => setTimeout(resolve, 50))
     expect(events).toEqual(['run BEGIN', 'cancel BEGIN', 'release tx-1'])
   })
 
-  // A link carries transactions for days, and its peer then freezes. Operators are told how many were rolled
-  // back; those that had ended long before are not among them, nor kept in memory.
-  it('tells which transactions it rolled back, and none that had ended', async () => {
+  // Ended transactions must neither stay in memory nor count as rolled back when the link closes.
+  it('rolls back and logs open transactions only', async () => {
     const released: string[] = []
-    const told: unknown[] = []
+    const logged: unknown[] = []
     const slots: SlotPort = {
       run: ({ id }, sink) => {
         sink.done(create(DoneSchema, { id, outcome: DoneOutcome.DONE }))
@@ -155,8 +152,8 @@
       release: id => { released.push(id) }
     }
     const port = await freePort()
-    const teller = { write: (event: string, fields: unknown) => told.push([event, fields]) } as unknown as Log
-    await PeerServer.listen({ ip: '127.0.0.1', port, host: 'b' as HostId, incarnation: '1', ...times, slots, initialFrames: () => [], onConfig: () => undefined, status: () => ({}), log: teller }, stop.signal)
+    const recordingLog = { write: (event: string, fields: unknown) => logged.push([event, fields]) } as unknown as Log
+    await PeerServer.listen({ ip: '127.0.0.1', port, host: 'b' as HostId, incarnation: '1', ...times, slots, initialFrames: () => [], onConfig: () => undefined, status: () => ({}), log: recordingLog }, stop.signal)
     const out = AsyncQueue.create<Frame['body']>()
     const answers = createClient(Peer, createGrpcTransport({ baseUrl: `http://127.0.0.1:${port}` })).link(batches(out), { signal: stop.signal })
     out.push(hello)
@@ -166,10 +163,10 @@
     run(3, 'left')
     out.push({ case: 'release', value: create(ReleaseSchema, { transaction: 'left' }) })
     run(4, 'open')
-    const given = answers[Symbol.asyncIterator]()
-    while (!(await given.next()).done) { /* until the server gives the silent link up */ }
+    const answerIterator = answers[Symbol.asyncIterator]()
+    while (!(await answerIterator.next()).done) { /* until the server closes the silent link */ }
     expect(released).toEqual(['left', 'open'])
-    expect(told).toEqual([['transactionsRolledBack', { peer: 'b', transactions: 1 }]])
+    expect(logged).toEqual([['transactionsRolledBack', { peer: 'b', transactions: 1 }]])
   })
 })
 
--- a/src/shell/peer/link.test.ts
+++ b/src/shell/peer/link.test.ts
@@ -1,4 +1,4 @@
-/** A link that goes silent, breaks or meets another host at its address. */
+/** A link whose address is answered by the expected host or by another one. */
 
 import { describe, expect, it } from 'vitest'
 import type { HostId } from '../../core/id/host.ts'
@@ -7,8 +7,8 @@
 import { PeerLink } from './link.ts'
 import { PeerServer } from './server.ts'
 
-// The list is old: host-2's address has been given to host-3 meanwhile. A link that took host-3 for host-2 would send
-// it requests for slots that it doesn't hold, and would keep a dead host-2 alive in the view of the members.
+// If the address of host-2 was reassigned to host-3, a link that took host-3 for host-2 would send it requests for
+// slots that it doesn't own, and the failed host-2 would seem alive.
 describe('a link to an address', () => {
   it.each([['host-2', true], ['host-3', false]])('that %s answers at is linked to host-2: %j', async (answering, isLinked) => {
     const stop = new AbortController()
--- a/src/shell/peer/link.ts
+++ b/src/shell/peer/link.ts
@@ -1,4 +1,4 @@
-/** The asking side of a link: one stream to one peer, replaced when it breaks or goes silent. */
+/** The client side of a link to a peer: one stream, reopened when it breaks or goes silent. */
 
 import { create } from '@bufbuild/protobuf'
 import { createClient } from '@connectrpc/connect'
@@ -25,17 +25,17 @@
   readonly silenceTimeoutMs: number
   readonly retryIntervalMs: number
   readonly log: Log
-  /** Without them the link is in clear text. */
+  /** TLS keys; the link is in clear text without them. */
   readonly keys?: TlsKeys | undefined
   readonly onSample: (frame: Extract<Frame['body'], { case: 'sample' }>['value']) => void
-  /** Anything arrived, from this incarnation of the peer. */
+  /** Called whenever a batch arrives on the established link, with the peer's incarnation. */
   readonly onActivity: (incarnation: string) => void
   readonly onHeld: (frame: Extract<Frame['body'], { case: 'held' }>['value']) => void
-  /** The stream broke or went silent. Called before what was asked on it ends. */
+  /** Called when the stream broke or went silent, before its open requests end. */
   readonly onLost: () => void
   readonly onWrote: (frame: Extract<Frame['body'], { case: 'wrote' }>['value']) => void
   readonly onLinked: () => void
-  /** A frame of the gossip of configurations. */
+  /** Called for each frame of the configuration gossip. */
   readonly onConfig: (body: Frame['body']) => void
 }
 
@@ -43,7 +43,7 @@
 
 type Sink = Parameters<SlotPort['run']>[1]
 
-/** Asks one peer's slots. What can't be sent is refused at once, as proved not run. */
+/** Sends requests to the slots of one peer. While the link is down, requests are refused at once as not run. */
 export class PeerLink implements SlotPort {
   private out: AsyncQueue<Frame> | undefined
   private readonly sinks = new Map<number, Sink>()
@@ -51,7 +51,7 @@
   private nextId = 0
   private lastReceivedMs = 0
   private isUp = false
-  /** The peer's, from the hello of the stream in use. */
+  /** The peer's incarnation, from the hello of the current stream. */
   private incarnation = ''
 
   private constructor (private readonly options: Options) {}
@@ -100,7 +100,7 @@
     if (this.isUp) this.send(body)
   }
 
-  /** Ids are 32 bits wide, and a busy link uses them up within days; one that is still in use is passed over. */
+  /** Ids are 32 bits wide and wrap around on a busy link; ids still in use are skipped. */
   private newId (): number {
     do this.nextId = this.nextId % MAX_ID + 1
     while (this.sinks.has(this.nextId) || this.pendingConfirms.has(this.nextId))
@@ -111,6 +111,7 @@
     this.out?.push(create(FrameSchema, { body }))
   }
 
+  /** Reopens the stream after each loss until the signal is aborted. */
   private async keepOpen (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.runStream(signal)
@@ -118,7 +119,7 @@
     }
   }
 
-  /** Holds one stream until it breaks, goes silent or the process ends. */
+  /** Runs one stream until it breaks, goes silent or the signal is aborted. */
   private async runStream (signal: AbortSignal): Promise<void> {
     const { options } = this
     const broken = new AbortController()
@@ -138,7 +139,7 @@
       const answers = createClient(Peer, transport).link(batches(out), { signal: broken.signal })
       for await (const batch of answers) this.handleBatch(batch)
     } catch {
-      // Refused, broken or silent: all end the same way below.
+      // A refused, broken or silent stream ends the same way, below.
     }
     clearInterval(beat)
     signal.removeEventListener('abort', stop)
@@ -154,8 +155,8 @@
   }
 
   /**
-   * Against an address that another host's process has been given since the
-   * list was made: it would answer for slots that its namesake holds.
+   * Checks the peer's name: its address may have been reassigned to another
+   * host since the host list was read, and that host doesn't own the peer's slots.
    */
   private handleHello (host: string, incarnation: string): void {
     if (host !== this.options.peer) throw new Error(`${this.options.address} is ${host} now`)
@@ -189,7 +190,7 @@
     sink?.done(done)
   }
 
-  /** The stream is gone: whatever was sent on it may have run. */
+  /** Ends all open requests with an unknown outcome: what was sent on the lost stream may have run. */
   private handleLoss (): void {
     if (this.isUp) this.options.log.write('peerLost', { peer: this.options.peer })
     this.isUp = false
--- a/src/shell/peer/sampleframe.ts
+++ b/src/shell/peer/sampleframe.ts
@@ -1,4 +1,4 @@
-/** Turns samples into frames and back. */
+/** Converts samples to protocol frames and back. */
 
 import { create } from '@bufbuild/protobuf'
 import { SampleSchema, type Sample as SampleFrame } from '../../gen/peer_pb.ts'
@@ -9,7 +9,7 @@
 import type { Term } from '../../core/id/term.ts'
 import { Sample } from '../../core/group/sample.ts'
 
-/** Both directions of one mapping. `at` isn't sent: clocks of two hosts can't be compared. */
+/** Encodes and decodes samples. The time `at` isn't sent, since the clocks of two hosts can't be compared. */
 export const sampleFrame = {
   encode (sample: Sample): SampleFrame {
     return create(SampleSchema, {
--- a/src/shell/peer/server.ts
+++ b/src/shell/peer/server.ts
@@ -1,4 +1,4 @@
-/** The accepting side of the links between processes. */
+/** The server side of the links between processes. */
 
 import type { X509Certificate } from 'node:crypto'
 import { create, type MessageInitShape } from '@bufbuild/protobuf'
@@ -24,17 +24,17 @@
   readonly heartbeatIntervalMs: number
   readonly silenceTimeoutMs: number
   readonly slots: SlotPort
-  /** Without them links are in clear text. */
+  /** TLS keys; links are in clear text without them. */
   readonly keys?: TlsKeys | undefined
   readonly log?: Log
-  /** Frames that a new link is sent at once, so that it knows what the others know. */
+  /** Frames with the current state, sent first on every new link. */
   readonly initialFrames: () => readonly Frame['body'][]
-  /** A frame of the gossip of configurations; `reply` answers on the same link. */
+  /** Called for each frame of the configuration gossip; `reply` answers on the same link. */
   readonly onConfig: (from: HostId, body: Frame['body'], reply: (body: Frame['body']) => void) => void
   readonly status: () => MessageInitShape<typeof StatusReplySchema>
 }
 
-/** Serves the slots of this process to its peers. */
+/** Accepts links from peers and serves them the slots of this process. */
 export class PeerServer {
   private readonly links = new Set<InboundLink>()
 
@@ -67,6 +67,7 @@
     return it
   }
 
+  /** Sends a frame to all accepted peers. */
   broadcast (body: Frame['body']): void {
     for (const link of this.links) link.send(body)
   }
@@ -84,11 +85,11 @@
   }
 }
 
-/** One peer that asks. When it's gone or silent, what it asked for is given up and its transactions are rolled back. */
+/** A link from one peer. When it breaks or goes silent, its requests are cancelled and its transactions rolled back. */
 class InboundLink {
   readonly out = AsyncQueue.create<Frame>()
   private readonly running = new Map<number, ReturnType<SlotPort['run']>>()
-  /** Those that are open. A lost COMMIT or ROLLBACK leaves its own here until the peer releases it. */
+  /** The open transactions. One whose COMMIT or ROLLBACK failed stays until the peer releases it. */
   private readonly transactions = new Set<TransactionId>()
   private host = '' as HostId
   private lastReceivedMs = performance.now()
@@ -117,7 +118,7 @@
         for (const frame of batch.frames) this.handleFrame(frame)
       }
     } catch {
-      // The stream broke: the peer is gone, which `close` deals with.
+      // The stream broke; `close` cleans up.
     }
     this.out.close()
   }
@@ -136,15 +137,14 @@
   private accept (): void {
     if (this.isAccepted) return
     this.isAccepted = true
-    const { host, incarnation, initialFrames: greeting } = this.options
+    const { host, incarnation, initialFrames } = this.options
     this.send({ case: 'hello', value: { $typeName: 'agatepond.peer.v1.Hello', host, incarnation } })
-    for (const body of greeting()) this.send(body)
+    for (const body of initialFrames()) this.send(body)
   }
 
   /**
-   * Against a host that says another's name: it could give orders as that
-   * host. By TLS a peer is sent nothing and nothing of it is taken until its
-   * hello says a name that its certificate was made for.
+   * With TLS, accepts the peer only if its certificate names the host in its
+   * hello, so that no host can act as another. No other frame is sent or processed before.
    */
   private handleHello (host: string): void {
     const { keys, log } = this.options
@@ -161,15 +161,15 @@
     this.out.close()
   }
 
-  /** A link can go silent for good without an error; the time since the last frame is the only sign. */
+  /** Closes a silent link, since a link can go silent without an error; otherwise sends a heartbeat. */
   private checkLiveness (): void {
     if (performance.now() - this.lastReceivedMs > this.options.silenceTimeoutMs) return this.out.close()
     this.send({ case: 'beat', value: { $typeName: 'agatepond.peer.v1.Beat' } })
   }
 
   /**
-   * Against a peer that was frozen: what it had queued still arrives after its
-   * link was given up. A BEGIN that ran then would hold its connection for good.
+   * Ignores frames after the link was closed: a peer that was frozen may still
+   * deliver queued ones, and the connection of a BEGIN run then would never be released.
    */
   private handleFrame (frame: Frame): void {
     if (this.isClosed) return
@@ -220,7 +220,7 @@
   }
 }
 
-/** Whether the request, once done, leaves no transaction open. */
+/** Whether the request ends its transaction. */
 function isEnd ({ access }: Run): boolean {
   return access === RunAccess.COMMIT || access === RunAccess.ROLLBACK
 }
--- a/src/shell/peer/slotport.ts
+++ b/src/shell/peer/slotport.ts
@@ -1,4 +1,4 @@
-/** What a frontend asks of a slot owner, whether it's in this process or in another. */
+/** The interface to a slot owner, in this process or in another. */
 
 import type { Confirmed, Done, Run } from '../../gen/peer_pb.ts'
 import type { EndpointId } from '../../core/id/endpoint.ts'
@@ -9,19 +9,22 @@
 interface ResultSink {
   head (columns: readonly Uint8Array[]): void
   rows (rows: readonly Uint8Array[]): void
-  /** The last call, made exactly once. */
+  /** Called last, and exactly once unless the request is cancelled. */
   done (done: Done): void
 }
 
 interface RunningRequest {
-  /** Lets the slot owner send so many more bytes of rows. */
+  /** Allows the slot owner to send this many more bytes of rows. */
   credit (bytes: number): void
-  /** Gives the request up; `Sink.done` isn't called any more. */
+  /** Cancels the request; `ResultSink.done` isn't called afterwards. */
   cancel (): void
 }
 
 export interface SlotPort {
+  /** Runs a statement and streams its result to the sink. */
   run (run: Run, sink: ResultSink): RunningRequest
+  /** Confirms that the endpoint is in `term` and has received `position`; `ok` is false if that isn't proved within `ms`. */
   confirm (endpoint: EndpointId, term: Term, position: Position, ms: number): Promise<Confirmed>
+  /** Rolls back the transaction if it is open, and frees its connection. */
   release (transaction: TransactionId): void
 }
--- a/src/shell/peer/tlskeys.ts
+++ b/src/shell/peer/tlskeys.ts
@@ -1,4 +1,4 @@
-/** The key, certificate and authority of this host for its links, read anew when the files change. */
+/** Loads this host's private key, certificate and certificate authority, and reloads them when the files change. */
 
 import { readFileSync, statSync } from 'node:fs'
 import { createSecureContext, type SecureContextOptions } from 'node:tls'
@@ -10,16 +10,15 @@
   readonly authority: string
 }
 
-/** How often the files are looked at. */
 const CHECK_INTERVAL_MS = 1000
 
-/** Links that are opened use the newest keys; those that are open keep theirs. */
+/** New links use the latest keys; open links keep theirs. */
 export class TlsKeys {
   private readonly listeners = new Set<(context: SecureContextOptions) => void>()
 
   private constructor (private readonly files: Files, private signature: string, private currentContext: SecureContextOptions) {}
 
-  /** Throws when a file can't be read, or when the key isn't the certificate's. */
+  /** Throws when a file can't be read or the key doesn't match the certificate. */
   static read (files: Files): TlsKeys {
     return new TlsKeys(files, signatureOf(files), contextOf(files))
   }
@@ -28,20 +27,20 @@
     return this.currentContext
   }
 
+  /** The listener is called with the new keys after each reload. */
   onChange (listener: (context: SecureContextOptions) => void): void {
     this.listeners.add(listener)
   }
 
-  /** Looks at the files until the signal is aborted. */
+  /** Checks the files for changes until the signal is aborted. */
   watch (log: Log, signal: AbortSignal): void {
     const timer = setInterval(() => this.reloadIfChanged(log), CHECK_INTERVAL_MS)
     signal.addEventListener('abort', () => clearInterval(timer), { once: true })
   }
 
   /**
-   * Against files that are replaced one after the other: a look between two of
-   * them finds a key that isn't the certificate's. The old ones stay in use,
-   * and the next look that finds a change tries again.
+   * Keeps the current keys if the files are unreadable or inconsistent, such as
+   * while they are being replaced one by one, and retries at the next change.
    */
   private reloadIfChanged (log: Log): void {
     try {
@@ -54,7 +53,7 @@
     } catch (err) {
       const { message } = err as Error
       if (this.signature !== message) log.write('keysUnreadable', { err: message })
-      // A missing file has no marks; its message stands for them, so that it's logged once.
+      // A missing file has no signature; the error message takes its place, so that the error is logged once.
       if ((err as NodeJS.ErrnoException).syscall !== undefined) this.signature = message
     }
   }
--- a/src/shell/peer/tlsname.ts
+++ b/src/shell/peer/tlsname.ts
@@ -1,11 +1,11 @@
-/** Whether a certificate was made for a host. */
+/** Checks a certificate against a host's id. */
 
 import type { X509Certificate } from 'node:crypto'
 
 /**
- * Exactly the host's id as DNS name in the SAN, or as CN when there's none;
- * wildcards don't count. A leading dot would match any name below it, and an
- * empty name says nothing.
+ * Whether the certificate has the host's id as a DNS name in its SAN, or as its
+ * CN if it has no such name. Wildcards don't match. Ids with a leading dot are
+ * rejected, since `checkHost` matches them with any subdomain, and so is an empty id.
  */
 export function isCertificateFor (certificate: X509Certificate, host: string): boolean {
   if (host === '' || host.startsWith('.')) return false
--- a/src/shell/peer/tlsserver.ts
+++ b/src/shell/peer/tlsserver.ts
@@ -1,4 +1,4 @@
-/** The listening socket for peers: in clear text, or by TLS that asks every peer for its certificate. */
+/** Creates the HTTP/2 server for peers: in clear text, or with mutual TLS. */
 
 import type { X509Certificate } from 'node:crypto'
 import { createSecureServer, createServer, type Http2SecureServer, type Http2Server, type Http2Session } from 'node:http2'
@@ -16,12 +16,12 @@
   readonly log: Log
 }
 
-/** Refused peers come back many times a second; each cause is logged this often. */
+/** Refused peers retry many times a second; each error message is logged at most once per interval. */
 const LOG_INTERVAL_MS = 10_000
 
-/** Makes the server; the caller lets it listen. */
+/** Creates a server that isn't listening yet. */
 export class TlsServer {
-  /** The certificate of the peer that asks; undefined in clear text. */
+  /** Context key of the peer's certificate, which is undefined in clear text. */
   static readonly certificate: ContextKey<X509Certificate | undefined> = createContextKey<X509Certificate | undefined>(undefined)
 
   static create ({ routes, keys, log }: Options): Http2Server | Http2SecureServer {
--- a/src/shell/peer/tlssession.ts
+++ b/src/shell/peer/tlssession.ts
@@ -1,4 +1,4 @@
-/** Where and how a peer is spoken to: in clear text, or by TLS with both sides proved. */
+/** Creates HTTP/2 sessions to peers, in clear text or with mutual TLS. */
 
 import { X509Certificate } from 'node:crypto'
 import { Http2SessionManager } from '@connectrpc/connect-node'
@@ -11,8 +11,8 @@
 }
 
 /**
- * Against a host that answers at another's address: its certificate must be
- * made for the peer that the host list names there, or nothing is sent to it.
+ * With keys, the server's certificate must name the expected peer, so that
+ * nothing is sent to another host at the same address.
  */
 export function createPeerSession (address: string, peer: string, keys: TlsKeys | undefined): Session {
   if (keys === undefined) {
