--- a/src/shell/node/addgroups.ts
+++ b/src/shell/node/addgroups.ts
@@ -1,12 +1,12 @@
-/** The groups of a configuration, before anything was heard of them. */
+/** Creates the state of the groups that a configuration names. */
 
 import type { Config } from '../../core/config/config.ts'
 import { Group } from '../../core/group/group.ts'
 import type { Groups } from '../caller/groups.ts'
 
-/** Adds those that aren't known yet; what is known of the others stays. */
+/** Adds the groups of the configuration that are missing; existing groups keep their state. */
 export function addGroups (config: Config, groups: Groups): void {
   for (const { id, endpoints } of config.groups) {
-    if (groups.get(id) === undefined) groups.set(Group.of(id, endpoints.map(one => one.id)))
+    if (groups.get(id) === undefined) groups.set(Group.of(id, endpoints.map(endpoint => endpoint.id)))
   }
 }
--- a/src/shell/node/callerconnections.ts
+++ b/src/shell/node/callerconnections.ts
@@ -1,4 +1,4 @@
-/** The callers' connections of this process, and their closing when it leaves. */
+/** The open caller connections of this process, which it closes when it drains. */
 
 import type { Instant } from '../../core/id/instant.ts'
 import type { CommandHandler } from '../mysql/commandhandler.ts'
@@ -9,11 +9,13 @@
 interface Options {
   readonly timings: DrainTimings
   readonly now: () => Instant
+  /** Called with the number of open connections whenever it changes. */
   readonly onCount: (open: number) => void
 }
 
 const POLL_INTERVAL_MS = 20
 
+/** Wraps the handler of each caller's connection and closes the connections when the process drains. */
 export class CallerConnections {
   private readonly handlers = new Set<DrainableHandler>()
   private leavingSince: Instant | undefined
@@ -24,31 +26,31 @@
     return new CallerConnections(options)
   }
 
-  /** The handler to use in place of the caller's own. `onClosed` is called when the caller is gone. */
+  /** Returns the handler to use in place of the caller's own. Calls `onClosed` when the connection has closed. */
   wrap (handler: CommandHandler, hangUp: () => void, onClosed: () => void): CommandHandler {
-    const gate = DrainableHandler.before({
+    const wrapped = DrainableHandler.before({
       handler,
       hangUp,
       timings: this.options.timings,
       now: this.options.now,
       leavingSince: () => this.leavingSince,
       onClosed: () => {
-        this.handlers.delete(gate)
+        this.handlers.delete(wrapped)
         this.options.onCount(this.handlers.size)
         onClosed()
       }
     })
-    this.handlers.add(gate)
+    this.handlers.add(wrapped)
     this.options.onCount(this.handlers.size)
-    return gate
+    return wrapped
   }
 
-  /** Resolves when every connection is closed, or is over and waits for its caller to close it too. */
+  /** Closes the connections as the timings allow. Resolves when each is closed or has been hung up, even if its caller hasn't closed its side yet. */
   async drain (): Promise<void> {
     this.leavingSince ??= this.options.now()
     for (;;) {
-      for (const gate of this.handlers) gate.tick()
-      if ([...this.handlers].every(gate => gate.isOver)) return
+      for (const handler of this.handlers) handler.tick()
+      if ([...this.handlers].every(handler => handler.isOver)) return
       await new Promise(resolve => { setTimeout(resolve, POLL_INTERVAL_MS) })
     }
   }
--- a/src/shell/node/confirmatowner.test.ts
+++ b/src/shell/node/confirmatowner.test.ts
@@ -1,4 +1,4 @@
-/** Which owner of a slot is asked for a confirmation when slots move. */
+/** Which owner of a slot is asked for a confirmation while slots move. */
 
 import { create } from '@bufbuild/protobuf'
 import { describe, expect, it } from 'vitest'
@@ -11,7 +11,7 @@
 
 const question = { endpoint: 'e' as EndpointId, term: 1 as Term, position: 1 as Position, ms: 60_000 }
 
-/** An owner that answers so, after which the slot is somebody else's. */
+/** An owner that answers `ok`; `then` is called before the answer and may move the slot. */
 function owner (ok: boolean, then: () => void = () => undefined): SlotPort {
   return {
     run: () => { throw new Error('not asked') },
@@ -23,22 +23,22 @@
   }
 }
 
-// A write is at its endpoints and waits for its confirmation while one proxy leaves. The slot that was asked has just
-// been handed over, so its old owner says no; taken at its word, the caller of a good write is told "outcome unknown".
+// If the refusal of a slot owner that has just handed the slot over were taken as the answer, the caller of a write
+// that succeeded would get "outcome unknown".
 describe('a confirmation', () => {
-  it('is asked of the slot\'s new owner when the old one has left it', async () => {
+  it('goes to the new owner when the old one has handed the slot over', async () => {
     let port: SlotPort | undefined
     const next = owner(true)
     port = owner(false, () => { port = next })
     expect((await confirmAtOwner(question, () => port)).ok).toBe(true)
   })
 
-  it('waits while nobody holds the slot', async () => {
+  it('waits while no process holds the slot', async () => {
     const ports = [undefined, undefined, owner(true)]
     expect((await confirmAtOwner(question, () => ports.length > 1 ? ports.shift() : ports[0])).ok).toBe(true)
   })
 
-  it('is refused at once by an owner that stays', async () => {
+  it('is refused at once when the owner that refuses still holds the slot', async () => {
     const port = owner(false)
     expect((await confirmAtOwner(question, () => port)).ok).toBe(false)
   })
--- a/src/shell/node/confirmatowner.ts
+++ b/src/shell/node/confirmatowner.ts
@@ -1,4 +1,4 @@
-/** Asks for a confirmation, whoever holds a slot of the endpoint meanwhile. */
+/** Asks the current owner of an endpoint's slot to confirm a position, also when the slot moves meanwhile. */
 
 import { create } from '@bufbuild/protobuf'
 import { ConfirmedSchema, type Confirmed } from '../../gen/peer_pb.ts'
@@ -14,12 +14,14 @@
   readonly ms: number
 }
 
-/** How long to wait before looking for the slot's new owner. */
+/** How long to wait before looking up the slot's owner again. */
 const OWNER_POLL_MS = 20
 
 /**
- * A slot that moves while it's asked answers "no" for itself and not for its
- * endpoint; taken at its word, it would make a good write's outcome unknown.
+ * Confirms the position with the owner that `port` returns, for at most `ms`.
+ * A refusal counts only if the same owner still holds the slot. One that has
+ * handed it over meanwhile refuses for itself, which says nothing of the write,
+ * so the new owner is asked.
  */
 export async function confirmAtOwner ({ endpoint, term, position, ms }: ConfirmRequest, port: () => SlotPort | undefined): Promise<Confirmed> {
   const end = performance.now() + ms
--- a/src/shell/node/drainablehandler.test.ts
+++ b/src/shell/node/drainablehandler.test.ts
@@ -1,4 +1,4 @@
-/** Requests that cross the closing of their connection. */
+/** Requests that arrive after their connection was closed. */
 
 import { describe, expect, it } from 'vitest'
 import type { Instant } from '../../core/id/instant.ts'
@@ -6,15 +6,15 @@
 import type { Reply } from '../mysql/reply.ts'
 import { DrainableHandler } from './drainablehandler.ts'
 
-// A leaving proxy closes an idle connection while a reel return is on the wire to it. The caller sees a lost connection
-// and books the return again elsewhere; had the first one run as well, the reel would be counted twice.
-describe('a request that crosses the closing of its connection', () => {
+// A draining proxy closes an idle connection while a request is on its way. The caller sees a lost connection and sends
+// the request again elsewhere, so a write would be done twice if the first one ran as well.
+describe('a request that arrives after its connection was closed', () => {
   it('is not run', async () => {
     const ran: string[] = []
     let now = 0
     let isClosed = false
     const handler = { query: async (sql: string) => { ran.push(sql) } } as unknown as CommandHandler
-    const gate = DrainableHandler.before({
+    const wrapped = DrainableHandler.before({
       handler,
       timings: { transactionsMs: 10_000, callersMs: 5000, idleMs: 500, pauseMs: 20 },
       now: () => now as Instant,
@@ -22,11 +22,11 @@
       hangUp: () => { isClosed = true },
       onClosed: () => undefined
     })
-    await gate.query('first', {} as Reply)
+    await wrapped.query('first', {} as Reply)
     now = 1000
-    gate.tick()
+    wrapped.tick()
     expect(isClosed).toBe(true)
-    await gate.query('crossed', {} as Reply)
+    await wrapped.query('crossed', {} as Reply)
     expect(ran).toEqual(['first'])
   })
 })
--- a/src/shell/node/drainablehandler.ts
+++ b/src/shell/node/drainablehandler.ts
@@ -1,4 +1,4 @@
-/** Stands before the handler of one caller's connection and closes it when this process leaves. */
+/** Wraps the handler of one caller's connection and closes the connection when this process drains. */
 
 import type { Instant } from '../../core/id/instant.ts'
 import { decideClosing } from '../../core/membership/closing.ts'
@@ -11,8 +11,9 @@
   readonly handler: CommandHandler
   readonly timings: DrainTimings
   readonly now: () => Instant
-  /** When this process began to leave; undefined while it stays. */
+  /** When this process began to drain; undefined before. */
   readonly leavingSince: () => Instant | undefined
+  /** Closes the connection from this side. */
   readonly hangUp: () => void
   readonly onClosed: () => void
 }
@@ -20,6 +21,10 @@
 const ER_SERVER_SHUTDOWN = 1053
 const REFUSAL = 'not run: this proxy is leaving; connect again and send the request again'
 
+/**
+ * Passes requests on to the wrapped handler. While the process drains, it
+ * closes the connection when no request is likely to be under way.
+ */
 export class DrainableHandler implements CommandHandler {
   private isBusy = false
   private hasHungUp = false
@@ -38,7 +43,7 @@
     return this.options.handler.isInTransaction === true
   }
 
-  /** Whether nothing is in progress and nothing more will be. */
+  /** Whether the connection has been closed, so that no request runs any more. */
   get isOver (): boolean {
     return this.hasHungUp
   }
@@ -73,13 +78,13 @@
     this.options.onClosed()
   }
 
-  /** Closes the connection when it's time to; called now and then while this process leaves. */
+  /** Closes the connection if it is due. To be called at intervals while this process drains. */
   tick (): void {
     if (!this.isBusy && this.decide('idle') === 'close') this.hangUp()
   }
 
   private async handle (reply: Reply, act: () => Promise<void>): Promise<void> {
-    // A request that crossed the closing on its way: it can't be answered any more, so it must not run.
+    // A request that was on its way while the connection closed can't be answered any more, so it must not run.
     if (this.hasHungUp) return
     this.recordGap()
     if (this.decide('asked') === 'refuse') {
@@ -93,7 +98,7 @@
     if (this.decide('answered') === 'close') this.hangUp()
   }
 
-  /** A caller's first requests often follow each other at once; the shortest gap is forgotten by halves. */
+  /** Keeps the shortest gap between requests. It doubles with each request, so that the quick first requests of a caller soon stop counting. */
   private recordGap (): void {
     if (this.isInTransaction) return
     const gap = this.options.now() - this.answeredAt
@@ -101,7 +106,7 @@
   }
 
   private decide (kind: 'asked' | 'answered' | 'idle'): ReturnType<typeof decideClosing> {
-    const { now, leavingSince, timings: pace } = this.options
+    const { now, leavingSince, timings } = this.options
     const since = leavingSince()
     if (since === undefined) return 'go'
     return decideClosing({
@@ -110,13 +115,13 @@
       idleMs: now() - this.answeredAt,
       shortestGapMs: this.shortestGapMs,
       leavingMs: now() - since
-    }, pace)
+    }, timings)
   }
 
   private hangUp (): void {
     if (this.hasHungUp) return
     this.hasHungUp = true
-    // An open transaction ends with its connection: its caller can't go on with it elsewhere.
+    // An open transaction ends with its connection; its caller can't continue it on another.
     this.options.hangUp()
   }
 }
--- a/src/shell/node/heldslot.ts
+++ b/src/shell/node/heldslot.ts
@@ -1,4 +1,4 @@
-/** A slot that this process holds, and what is in progress on it. */
+/** A slot that this process holds. */
 
 import type { Confirmed, Run } from '../../gen/peer_pb.ts'
 import type { Sample } from '../../core/group/sample.ts'
@@ -14,11 +14,11 @@
 type Sink = Parameters<SlotPort['run']>[1]
 type Running = ReturnType<SlotPort['run']>
 
-/** How long a slot that is handed over still takes new requests, while the others hear of it and go elsewhere. */
+/** How long a slot in handover still accepts new requests, while the peers learn of the handover. */
 const HANDOVER_GRACE_MS = 100
 const NOOP_RUNNING: Running = { credit: () => undefined, cancel: () => undefined }
 
-/** Counts what runs, so that the slot is closed when nothing does. */
+/** Tracks the requests in progress on the slot, so that a handover closes it when none is left. */
 export class HeldSlot implements SlotPort {
   private inProgress = 0
   private phase: 'open' | 'handingOver' | 'closing' = 'open'
@@ -30,12 +30,12 @@
     return new HeldSlot(owner, stop)
   }
 
-  /** False as soon as the slot is being handed over. */
+  /** False as soon as a handover begins. */
   get isOpen (): boolean {
     return this.phase === 'open'
   }
 
-  /** Whether a request that isn't part of an open transaction would be taken. */
+  /** Whether requests outside an open transaction are accepted. */
   get acceptsNew (): boolean {
     return this.phase !== 'closing'
   }
@@ -77,12 +77,12 @@
     this.owner.applySample(sample)
   }
 
-  /** Says whether the endpoint is to be left. */
+  /** Sets whether the configuration marks the endpoint as leaving. */
   setEndpointLeaving (isLeaving: boolean): void {
     this.owner.setLeaving(isLeaving)
   }
 
-  /** Ends what is in progress, then closes the slot's connections. Takes new requests for a moment still. */
+  /** Waits until requests and transactions in progress have ended, then closes the slot's connections. New requests are accepted for HANDOVER_GRACE_MS. */
   async handOver (): Promise<void> {
     if (this.phase !== 'open') return
     this.phase = 'handingOver'
@@ -94,7 +94,7 @@
     this.close()
   }
 
-  /** Closes the slot's connections at once. */
+  /** Closes the slot's connections without waiting for requests in progress. */
   close (): void {
     this.phase = 'closing'
     this.stop.abort()
@@ -104,7 +104,7 @@
     return req.transaction !== '' && statementKind(req.sql) !== 'begin'
   }
 
-  /** Yields the call that ends what began; calls after the first do nothing. */
+  /** Counts a request as in progress. Returns the function that ends it; calls after the first do nothing. */
   private trackRequest (): () => void {
     let isOver = false
     this.inProgress++
--- a/src/shell/node/knownprimaries.ts
+++ b/src/shell/node/knownprimaries.ts
@@ -1,11 +1,11 @@
-/** The wait for the first word of groups that nobody here has used before. */
+/** Waits for the primary of groups that this process hasn't used before. */
 
 import type { GroupId } from '../../core/id/group.ts'
 import type { Groups } from '../caller/groups.ts'
 
-const POLL_MS = 50
+const POLL_INTERVAL_MS = 50
 
-/** A group whose primary was once known isn't waited for again: if it has none now, its requests are told so. */
+/** Remembers which groups have had a known primary. These aren't waited for again: if one has no primary now, its requests are refused. */
 export class KnownPrimaries {
   private readonly heard = new Set<GroupId>()
 
@@ -15,10 +15,10 @@
     return new KnownPrimaries(groups)
   }
 
-  /** Resolves when each group has had a primary, or after `ms`. */
+  /** Resolves when each group has had a known primary, or after `ms`. */
   async wait (ids: readonly GroupId[], ms: number): Promise<void> {
     const end = performance.now() + ms
-    while (!this.areKnown(ids) && performance.now() < end) await this.groups.waitForChange(POLL_MS)
+    while (!this.areKnown(ids) && performance.now() < end) await this.groups.waitForChange(POLL_INTERVAL_MS)
   }
 
   private areKnown (ids: readonly GroupId[]): boolean {
--- a/src/shell/node/node.ts
+++ b/src/shell/node/node.ts
@@ -1,4 +1,4 @@
-/** One agatepond process: puts its parts together and keeps them running until its signal is aborted. */
+/** One agatepond process: connects its components and runs them until its signal is aborted. */
 
 import { randomUUID } from 'node:crypto'
 import { create, type MessageInitShape } from '@bufbuild/protobuf'
@@ -43,14 +43,14 @@
 const HOST_LIST_POLL_MS = 500
 const ER_SERVER_SHUTDOWN = 1053
 
-/** The process. `start` resolves when it listens. */
+/** A running process. */
 export class Node {
   private configs: ConfigFollower | undefined
   private peers: PeerServer | undefined
   private mysql: MysqlServer | undefined
   private hasHostList = false
   private isLeaving = false
-  /** Whether no new callers are taken. */
+  /** Whether new callers are refused. */
   private refusesCallers = false
 
   private constructor (
@@ -63,6 +63,7 @@
     readonly audit: Audit
   ) {}
 
+  /** Starts the process. Resolves when it listens; rejects if a listening socket can't be opened. */
   static async start (settings: Settings, signal: AbortSignal): Promise<Node> {
     const { platform, host } = settings
     const log = Log.create(host.id)
@@ -87,43 +88,43 @@
       metrics,
       now,
       chance,
-      broadcast: body => it.peers?.broadcast(body),
-      onLinked: peer => it.configs?.onLinked(peer),
-      onConfig: (from, body) => it.configs?.receive(from, body, reply => slots.peers.send(from, reply))
+      broadcast: body => node.peers?.broadcast(body),
+      onLinked: peer => node.configs?.onLinked(peer),
+      onConfig: (from, body) => node.configs?.receive(from, body, reply => slots.peers.send(from, reply))
     }, signal)
-    const { transactions, callers: busy, idle, pause: gap } = settings.drain
+    const { transactions, callers: callersMs, idle, pause: pauseMs } = settings.drain
     const callers = CallerConnections.create({
-      timings: { transactionsMs: transactions, callersMs: busy, idleMs: idle, pauseMs: gap },
+      timings: { transactionsMs: transactions, callersMs, idleMs: idle, pauseMs },
       now,
       onCount: open => metrics.callers.set(open)
     })
-    const audit = openAudit({ settings, incarnation, log, metrics, now, configVersion: () => it.configs?.config?.version })
-    const it: Node = new Node(settings, KnownPrimaries.of(groups), slots, callers, log, metrics, audit)
-    it.peers = await PeerServer.listen({
+    const audit = openAudit({ settings, incarnation, log, metrics, now, configVersion: () => node.configs?.config?.version })
+    const node: Node = new Node(settings, KnownPrimaries.of(groups), slots, callers, log, metrics, audit)
+    node.peers = await PeerServer.listen({
       ...parseAddress(settings.listen.peers),
       host: host.id as HostId,
       incarnation,
       heartbeatIntervalMs: settings.peers.beat,
       silenceTimeoutMs: settings.peers.silent,
-      slots: it.ownSlotPort(),
+      slots: node.ownSlotPort(),
       keys,
       log,
       initialFrames: (): Frame['body'][] => [{ case: 'held', value: slots.heldFrame() }],
-      onConfig: (from, body, reply) => it.configs?.receive(from, body, reply),
-      status: () => it.status(host.id, incarnation)
+      onConfig: (from, body, reply) => node.configs?.receive(from, body, reply),
+      status: () => node.status(host.id, incarnation)
     }, signal)
-    it.configs = ConfigFollower.start({
+    node.configs = ConfigFollower.start({
       self: host.id as HostId,
       store: ConfigStore.of(table, objects),
       log,
       now,
       chance,
       send: (peer, body) => slots.peers.send(peer, body),
-      onApply: config => it.apply(config)
+      onApply: config => node.apply(config)
     }, signal)
     const context: CallerContext = {
       host: host.id as HostId,
-      config: () => it.configs?.config,
+      config: () => node.configs?.config,
       groups,
       sessions: SessionTable.create(settings.requests.sessions),
       port: endpoint => slots.port(endpoint),
@@ -133,30 +134,30 @@
       retryBudget: SharedRetryBudget.create(now()),
       now,
       metrics,
-      audit: it.audit
+      audit: node.audit
     }
     const reads = SessionReadRouter.create(context)
     const { ip, port } = parseAddress(settings.listen.callers)
-    it.mysql = await MysqlServer.listen({
+    node.mysql = await MysqlServer.listen({
       host: ip,
       port,
       tracksSession: false,
       accept: async login => {
-        if (it.refusesCallers) return { code: ER_SERVER_SHUTDOWN, message: 'this proxy is leaving; connect to another' }
+        if (node.refusesCallers) return { code: ER_SERVER_SHUTDOWN, message: 'this proxy is leaving; connect to another' }
         const handler = await acceptCaller(context, reads, login)
-        return 'code' in handler ? handler : await it.wrapHandler(handler, login)
+        return 'code' in handler ? handler : await node.wrapHandler(handler, login)
       }
     }, signal)
-    await servePages({ ...parseAddress(settings.listen.metrics), metrics, problem: () => it.problem }, signal)
-    it.pollHosts(hostList, signal)
+    await servePages({ ...parseAddress(settings.listen.metrics), metrics, problem: () => node.problem }, signal)
+    node.pollHosts(hostList, signal)
     log.write('started', { callers: settings.listen.callers, peers: settings.listen.peers })
-    return it
+    return node
   }
 
   /**
-   * Leaves without cutting anything off; resolves when nothing is in progress
-   * any more. The listening socket stays open for a while, because a balancer
-   * takes some time to see that this process isn't ready.
+   * Drains the process and resolves when no request is in progress any more.
+   * The listening socket stays open for the announcement time, until load
+   * balancers have seen that this process isn't ready.
    */
   async drain (): Promise<void> {
     this.isLeaving = true
@@ -173,9 +174,10 @@
   }
 
   /**
-   * While a caller is connected, its pool's groups are in use here. The links
-   * to their slot owners may be opened only now, so the sign-in waits for
-   * them; else the first request would be refused for want of a known primary.
+   * Marks the groups of the caller's pools as used while the caller is
+   * connected. Links to the owners of their slots may be opened only now, so
+   * the login waits until the primaries are known; otherwise the first request
+   * would be refused.
    */
   private async wrapHandler (handler: CommandHandler, login: Login): Promise<CommandHandler> {
     const closed = new AbortController()
@@ -186,7 +188,7 @@
     return this.callers.wrap(handler, () => login.closeConnection(), () => closed.abort())
   }
 
-  /** What this process's peers may ask of it: its own slots only, never a further hop. */
+  /** The port that peers use: it reaches this process's own slots only, so that no request takes more than one hop. */
   private ownSlotPort (): SlotPort {
     return {
       run: (req, sink) => {
@@ -220,7 +222,7 @@
     this.metrics.configVersion.set(config.version)
   }
 
-  /** Why this process takes no callers; undefined when it does. */
+  /** Why this process isn't ready for callers; undefined if it is. */
   private get problem (): string | undefined {
     if (this.isLeaving) return 'leaving'
     if (this.configs === undefined) return 'starting'
--- a/src/shell/node/pages.ts
+++ b/src/shell/node/pages.ts
@@ -1,4 +1,4 @@
-/** The pages for the balancer and for Prometheus: /health, /ready, /metrics. */
+/** The HTTP pages for load balancers (/health, /ready) and for Prometheus (/metrics). */
 
 import { createServer } from 'node:http'
 import type { Metrics } from '../metrics/metrics.ts'
@@ -7,11 +7,11 @@
   readonly ip: string
   readonly port: number
   readonly metrics: Metrics
-  /** Why this process takes no callers; undefined when it does. */
+  /** Why this process isn't ready for callers; undefined if it is. */
   readonly problem: () => string | undefined
 }
 
-/** Serves until the signal is aborted. Resolves when it listens, so that whoever reads that the process started can ask whether it's ready. */
+/** Serves the pages until the signal is aborted. Resolves when the server listens; rejects if it can't. */
 export async function servePages ({ ip, port, metrics, problem }: Options, signal: AbortSignal): Promise<void> {
   const server = createServer((req, res) => {
     if (req.url === '/health') {
--- a/src/shell/node/peers.ts
+++ b/src/shell/node/peers.ts
@@ -1,4 +1,4 @@
-/** The other processes: the links to those that are used, and what they say of themselves. */
+/** The other processes of the service: links to those that are needed, and their state. */
 
 import type { Frame, Sample as SampleFrame, Wrote } from '../../gen/peer_pb.ts'
 import type { EndpointId } from '../../core/id/endpoint.ts'
@@ -24,7 +24,7 @@
   readonly onWrote: (frame: Wrote) => void
   readonly onLinked: (host: HostId) => void
   readonly onConfig: (from: HostId, body: Frame['body']) => void
-  /** Something was heard that may move a slot. */
+  /** Called when a peer's state changes in a way that may move a slot. */
   readonly onChange: () => void
 }
 
@@ -32,13 +32,14 @@
   readonly address: string
   readonly link: PeerLink
   readonly stop: AbortController
-  /** When it was last wanted. */
+  /** When the link was last required. */
   wantedAt: Instant
 }
 
+/** How long a link that isn't required stays open, so that requests on it can end. */
 const UNUSED_LINK_TIMEOUT_MS = 60_000
 
-/** Feeds `Members` with what the list and the links say. */
+/** Keeps the links to peers and updates `Members` with the host list and with what the links report. */
 export class Peers {
   private readonly links = new Map<HostId, LinkEntry>()
   private readonly known: Members
@@ -59,8 +60,8 @@
   useHosts (hosts: readonly Host[]): void {
     this.apply({ kind: 'listed', hosts })
     for (const host of hosts) {
-      const linked = this.links.get(host.id)
-      if (linked !== undefined && linked.address !== host.peers) this.unlink(host.id)
+      const entry = this.links.get(host.id)
+      if (entry !== undefined && entry.address !== host.peers) this.unlink(host.id)
     }
   }
 
@@ -68,19 +69,19 @@
     this.apply({ kind: 'leaving' })
   }
 
-  /** Links to these hosts. A link that isn't wanted any more is closed after a while, so that what runs on it ends first. */
-  setRequiredHosts (wanted: ReadonlySet<HostId>): void {
+  /** Opens links to these hosts. A link that is no longer required closes after UNUSED_LINK_TIMEOUT_MS. */
+  setRequiredHosts (required: ReadonlySet<HostId>): void {
     const now = this.options.now()
-    for (const [id, linked] of [...this.links]) {
-      if (wanted.has(id)) linked.wantedAt = now
-      else if (now - linked.wantedAt >= UNUSED_LINK_TIMEOUT_MS) this.unlink(id)
+    for (const [id, entry] of [...this.links]) {
+      if (required.has(id)) entry.wantedAt = now
+      else if (now - entry.wantedAt >= UNUSED_LINK_TIMEOUT_MS) this.unlink(id)
     }
     for (const host of this.known.hosts) {
-      if (wanted.has(host.id) && !this.links.has(host.id)) this.link(host)
+      if (required.has(host.id) && !this.links.has(host.id)) this.link(host)
     }
   }
 
-  /** Sends a frame to a host if it's linked. */
+  /** Sends a frame to a host if there is a link to it. */
   send (host: HostId, body: Frame['body']): void {
     this.links.get(host)?.link.sendIfLinked(body)
   }
@@ -90,7 +91,7 @@
     for (const id of [...this.links.keys()]) this.unlink(id)
   }
 
-  /** The links to live hosts that say they hold a slot of the endpoint; then those to leaving ones, which still finish work. */
+  /** The open links to hosts that hold a slot of the endpoint. Hosts that are leaving come last; they still finish their work. */
   linksTo (endpoint: EndpointId): readonly PeerLink[] {
     const now = this.options.now()
     const holders = this.known.holders(endpoint, now)
--- a/src/shell/node/recordpromotion.ts
+++ b/src/shell/node/recordpromotion.ts
@@ -1,4 +1,4 @@
-/** Records a promotion in the table service, after the fact. */
+/** Records a promotion in the table service after it was done. */
 
 import type { FailoverAction } from '../../core/failover/action.ts'
 import type { Log } from '../log/log.ts'
@@ -13,7 +13,7 @@
   readonly metrics: Metrics
 }
 
-/** The row is a record and a hint; nothing waits for it and nothing rests on it. */
+/** Counts the promotion and writes its row. The row is for information only: a failure to write it is logged and otherwise ignored. */
 export function recordPromotion (action: Promotion, { table, log, metrics }: Options): void {
   metrics.promotions.inc()
   table.create({
--- a/src/shell/node/slotclaims.ts
+++ b/src/shell/node/slotclaims.ts
@@ -1,4 +1,4 @@
-/** This process's claims in the table service: one loop an endpoint, run by the core's `Claiming`. */
+/** This process's claims on slots in the table service: runs one `SlotClaimer` for each endpoint. */
 
 import type { EndpointId } from '../../core/id/endpoint.ts'
 import type { HostId } from '../../core/id/host.ts'
@@ -15,69 +15,73 @@
   readonly table: TableService
   readonly now: () => Instant
   readonly chance: () => number
-  /** Whether the claim's process, by all that is heard, is gone. */
+  /** Whether the process that holds the claim still runs, as far as this process knows. */
   readonly claimStatus: (claim: Claim) => 'held' | 'gone' | 'unknown'
-  /** The slot is this process's: claimed, or the store doesn't answer. */
+  /** Called when this process may use the slot: it is claimed, or the table service didn't answer within CLAIM_TIMEOUT_MS. */
   readonly onTake: (endpoint: EndpointId) => void
 }
 
 type Event = Parameters<SlotClaimer['step']>[0]
 
-/** How long a slot waits for a store that doesn't answer: with the 3 s of silence before, a dead host's slot is served again within 5 s. */
+/**
+ * How long a slot waits for the table service before it is taken without a claim.
+ * Together with the 3 s until a host counts as failed, its slots are served again within 5 s.
+ */
 const CLAIM_TIMEOUT_MS = 1000
-/** Longer than the host list lags. */
+/** How long the claim of an unknown host is respected. Exceeds the delay of the host list, which may not show a new host yet. */
 const UNKNOWN_HOLDER_MS = 30_000
 const TICK_MS = 50
 const RELEASE_TIMEOUT_MS = 500
 const RELEASE_BACKOFF = { firstMs: 100, mostMs: 10_000 }
 
+/** Claims slots for this process and releases them. */
 export class SlotClaims {
   private readonly claimers = new Map<EndpointId, SlotClaimer>()
-  /** Tells the claiming of an endpoint from an earlier one. */
+  /** Identifies the current claim of an endpoint, so that answers to an earlier one are ignored. */
   private readonly attempts = new Map<EndpointId, symbol>()
   private readonly releasing = new Set<EndpointId>()
 
   private constructor (private readonly options: Options) {}
 
   static create (options: Options, signal: AbortSignal): SlotClaims {
-    const it = new SlotClaims(options)
+    const claims = new SlotClaims(options)
     const ticker = setInterval(() => {
-      for (const endpoint of it.claimers.keys()) it.apply(endpoint, { kind: 'tick' })
+      for (const endpoint of claims.claimers.keys()) claims.apply(endpoint, { kind: 'tick' })
     }, TICK_MS)
     signal.addEventListener('abort', () => clearInterval(ticker), { once: true })
-    return it
+    return claims
   }
 
-  /** Endpoints whose claim waits for the store, and how often it was tried. */
+  /** Endpoints whose claim waits for the table service, with the number of failed tries. */
   get waiting (): ReadonlyArray<{ readonly endpoint: EndpointId, readonly tries: number }> {
     return [...this.claimers]
-      .filter(([, claiming]) => !claiming.isClaimed && claiming.misses > 0)
-      .map(([endpoint, claiming]) => ({ endpoint, tries: claiming.misses }))
+      .filter(([, claimer]) => !claimer.isClaimed && claimer.misses > 0)
+      .map(([endpoint, claimer]) => ({ endpoint, tries: claimer.misses }))
   }
 
-  /** Begins to claim a slot of the endpoint; does nothing while it's claimed or being claimed. */
+  /** Starts to claim one of the endpoint's `slots` slots. Does nothing if a claim is held or in progress. */
   claim (endpoint: EndpointId, slots: number): void {
     if (this.claimers.has(endpoint)) return
-    const { host, incarnation, now, claimStatus: standing } = this.options
-    const claiming = SlotClaimer.begin({
-      host, incarnation, slots, claimStatus: standing, claimTimeoutMs: CLAIM_TIMEOUT_MS, unknownHolderMs: UNKNOWN_HOLDER_MS
+    const { host, incarnation, now, claimStatus } = this.options
+    const claimer = SlotClaimer.begin({
+      host, incarnation, slots, claimStatus, claimTimeoutMs: CLAIM_TIMEOUT_MS, unknownHolderMs: UNKNOWN_HOLDER_MS
     }, now())
-    this.claimers.set(endpoint, claiming)
+    this.claimers.set(endpoint, claimer)
     this.attempts.set(endpoint, Symbol(endpoint))
     this.apply(endpoint, { kind: 'tick' })
   }
 
-  /** Endpoints that are wanted and not taken yet. */
+  /** Endpoints whose slot isn't taken yet. */
   get pending (): readonly EndpointId[] {
-    return [...this.claimers].filter(([, claiming]) => !claiming.hasTaken).map(([endpoint]) => endpoint)
+    return [...this.claimers].filter(([, claimer]) => !claimer.hasTaken).map(([endpoint]) => endpoint)
   }
 
-  /** The slot falls to somebody else before it was taken: whatever was claimed is given back. */
+  /** Cancels a claim that is in progress and releases what it has claimed so far. Does nothing once the slot is taken. */
   cancel (endpoint: EndpointId): void {
     if (this.claimers.get(endpoint)?.hasTaken === false) this.release(endpoint)
   }
 
-  /** Gives the claim back, trying until the store answers: a live host's claim is respected by all others. */
+  /** Releases the claim, with retries until the table service answers, since no other host takes a slot that a live host claims. */
   release (endpoint: EndpointId): void {
     if (!this.claimers.delete(endpoint)) return
     this.attempts.delete(endpoint)
@@ -85,7 +89,7 @@
     this.releaseWithRetries(endpoint).finally(() => this.releasing.delete(endpoint))
   }
 
-  /** Resolves when what is being given back has been, or soon: later this process's being gone frees it. */
+  /** Resolves when all releases are done, or after a timeout: others may take the remaining slots once this process is gone. */
   async waitForReleases (): Promise<void> {
     const end = this.options.now() + RELEASE_TIMEOUT_MS
     while (this.releasing.size > 0 && this.options.now() < end) {
@@ -105,16 +109,16 @@
     const { host, incarnation, table } = this.options
     const own = (await this.read(endpoint)).filter(claim => claim.host === host && claim.incarnation === incarnation)
     for (const claim of own) {
-      // The slot may have fallen to this process again meanwhile: the claim is in use then.
+      // The slot may have been assigned to this process again meanwhile; then its claim must stay.
       if (this.claimers.has(endpoint)) return
       await table.replace(rowOf(endpoint, { ...claim, revision: claim.revision + 1, host: '' }), claim.revision)
     }
   }
 
   private apply (endpoint: EndpointId, event: Event): void {
-    const claiming = this.claimers.get(endpoint)
-    if (claiming === undefined) return
-    const step = claiming.step(event, this.options.now(), this.options.chance())
+    const claimer = this.claimers.get(endpoint)
+    if (claimer === undefined) return
+    const step = claimer.step(event, this.options.now(), this.options.chance())
     this.claimers.set(endpoint, step.claimer)
     for (const action of step.actions) {
       switch (action.kind) {
@@ -133,7 +137,7 @@
   private answer (endpoint: EndpointId, answer: Promise<Event>): void {
     const attempt = this.attempts.get(endpoint)
     answer.catch((): Event => ({ kind: 'failed' })).then(event => {
-      // The claim may have been given up, and begun anew, while the store answered: the answer isn't the new one's.
+      // The claim may have been released and started again meanwhile; an answer to the earlier one doesn't apply.
       if (this.attempts.get(endpoint) === attempt) this.apply(endpoint, event)
     })
   }
--- a/src/shell/node/slots.ts
+++ b/src/shell/node/slots.ts
@@ -1,4 +1,4 @@
-/** The slots of this process and the ways to those of others: one port for each endpoint. */
+/** The slots that this process holds, and access to those of its peers: one port for each endpoint. */
 
 import { create } from '@bufbuild/protobuf'
 import { HeldSchema, WroteSchema, type Held as HeldFrame, type Wrote } from '../../gen/peer_pb.ts'
@@ -27,12 +27,12 @@
 import { takeSlot } from './takeslot.ts'
 import { UsedGroups } from './usedgroups.ts'
 
-/** How often silence is looked for; a change that is heard is acted on at once. */
+/** How often hosts that don't answer any more are looked for; reported changes take effect at once. */
 const TICK_MS = 200
-/** How often the links are compared with what is used. */
+/** How often links are opened and closed to match the required peers. */
 const LINK_INTERVAL_MS = 1000
 
-/** Follows the host list, the links and the configuration: holds the slots that fall to this host. */
+/** Holds the slots that the host list, the links and the configuration assign to this host. */
 export class Slots {
   private readonly held = new Map<EndpointId, HeldSlot>()
   private readonly usedGroups = UsedGroups.create()
@@ -70,14 +70,14 @@
   }
 
   static create (options: SlotsOptions, signal: AbortSignal): Slots {
-    const it = new Slots(options, signal)
-    const tickers = [setInterval(() => it.place(), TICK_MS), setInterval(() => it.updateLinks(), LINK_INTERVAL_MS)]
+    const slots = new Slots(options, signal)
+    const tickers = [setInterval(() => slots.place(), TICK_MS), setInterval(() => slots.updateLinks(), LINK_INTERVAL_MS)]
     signal.addEventListener('abort', () => {
       for (const ticker of tickers) clearInterval(ticker)
-      it.peers.close()
-      for (const slot of it.held.values()) slot.close()
+      slots.peers.close()
+      for (const slot of slots.held.values()) slot.close()
     }, { once: true })
-    return it
+    return slots
   }
 
   useHosts (hosts: readonly Host[]): void {
@@ -93,12 +93,12 @@
     this.place()
   }
 
-  /** Links to the owners of these groups' slots until the signal is aborted: a caller of this process uses them. */
+  /** Keeps links to the owners of these groups' slots until the signal is aborted, for a caller that uses the groups. */
   useGroups (ids: readonly GroupId[], signal: AbortSignal): void {
     if (this.usedGroups.add(ids, signal)) this.updateLinks()
   }
 
-  /** Own before others, so that a request makes no hop; a slot that is being handed over only when there is no other. */
+  /** The port to the endpoint. Prefers this process's own slot, which saves a hop; one in handover is used only if no peer has a slot. */
   port (endpoint: EndpointId): SlotPort | undefined {
     const own = this.held.get(endpoint)
     if (own?.isOpen === true && !this.peers.members.isLeaving) return own
@@ -106,40 +106,40 @@
     return peer ?? (own?.acceptsNew === true ? own : undefined)
   }
 
-  /** This process's own slot, whoever else holds one. */
+  /** This process's own slot of the endpoint. */
   own (endpoint: EndpointId): HeldSlot | undefined {
     return this.held.get(endpoint)
   }
 
-  /** Rolls back whatever the transaction has open on a slot of this process. */
+  /** Rolls the transaction back on each slot of this process. */
   release (transaction: TransactionId): void {
     for (const slot of this.held.values()) slot.release(transaction)
   }
 
-  /** Keeps links to these hosts too, whatever the slots need. */
+  /** Keeps links to these hosts in addition to those that the slots need. */
   keepLinks (hosts: readonly HostId[]): void {
     this.kept = hosts
     this.updateLinks()
   }
 
-  /** What waits for the store to answer. */
+  /** Descriptions of the claims that wait for the table service. */
   get waiting (): readonly string[] {
     return this.claims.waiting.map(({ endpoint, tries }) => `the claim on a slot of ${endpoint}: ${tries} tries`)
   }
 
-  /** What a peer is told of this process when it links, and at every change. */
+  /** The state of this process that peers get when they link and at each change. */
   heldFrame (): HeldFrame {
     return create(HeldSchema, { endpoints: [...this.held.keys()], leaving: this.peers.members.isLeaving })
   }
 
-  /** Announces that this process leaves. Slots that another host can take are handed over from now on. */
+  /** Announces that this process leaves. From now on it hands slots over as soon as another host can take them. */
   leave (): void {
     this.peers.leave()
     this.broadcastHeld()
     this.place()
   }
 
-  /** Resolves when what was in progress on any slot has ended and all of them are closed. */
+  /** Hands over all slots. Resolves when requests in progress on them have ended and all slots are closed. */
   async left (): Promise<void> {
     for (const [endpoint, slot] of this.held) this.handOver(endpoint, slot)
     while (this.held.size > 0) await new Promise<void>(resolve => { this.wake = resolve })
@@ -151,41 +151,41 @@
     for (const slot of this.held.values()) slot.applySample(sample)
   }
 
-  /** Takes in who made a write, from an owner here or elsewhere. */
+  /** Records which session made a write, as reported by this process's slots or by a peer. */
   private note ({ endpoint, term, position, session }: Wrote): void {
     this.options.groups.addWriteNotice(endpoint as EndpointId, term as Term, position as Position, session)
   }
 
   private place (): void {
     const { members } = this.peers
-    const duties = this.assignments.withHosts(members.candidates(this.options.now()), members.hosts)
-    const hasChanged = duties !== this.assignments
-    this.assignments = duties
+    const assignments = this.assignments.withHosts(members.candidates(this.options.now()), members.hosts)
+    const hasChanged = assignments !== this.assignments
+    this.assignments = assignments
     if (hasChanged) this.updateLinks()
-    for (const endpoint of new Set([...duties.endpoints, ...this.held.keys(), ...this.claims.pending])) this.placeSlot(endpoint)
+    for (const endpoint of new Set([...assignments.endpoints, ...this.held.keys(), ...this.claims.pending])) this.placeSlot(endpoint)
   }
 
   private placeSlot (endpoint: EndpointId): void {
     const slot = this.held.get(endpoint)
-    const standing = slotStateOf(endpoint, this.assignments, this.peers.members, slot !== undefined, this.options.now())
-    if (standing === undefined) return
-    const tenure = decideOwnership(standing)
-    if (tenure === 'take') this.claims.claim(endpoint, standing.slots)
+    const state = slotStateOf(endpoint, this.assignments, this.peers.members, slot !== undefined, this.options.now())
+    if (state === undefined) return
+    const ownership = decideOwnership(state)
+    if (ownership === 'take') this.claims.claim(endpoint, state.slots)
     else if (slot === undefined) this.claims.cancel(endpoint)
-    if (tenure === 'handOver') this.handOver(endpoint, slot!)
+    if (ownership === 'handOver') this.handOver(endpoint, slot!)
     slot?.setEndpointLeaving(this.assignments.isLeaving(endpoint))
   }
 
   private updateLinks (): void {
     const now = this.options.now()
-    const wanted = requiredPeers({
+    const required = requiredPeers({
       assignments: this.assignments,
       held: [...this.held.keys()],
       groups: this.config?.groups.filter(group => this.usedGroups.has(group.id)) ?? [],
       holders: endpoint => this.peers.members.holders(endpoint, now)
     })
-    for (const host of this.kept) wanted.add(host)
-    this.peers.setRequiredHosts(wanted)
+    for (const host of this.kept) required.add(host)
+    this.peers.setRequiredHosts(required)
   }
 
   private handOver (endpoint: EndpointId, slot: HeldSlot): void {
--- a/src/shell/node/slotsoptions.ts
+++ b/src/shell/node/slotsoptions.ts
@@ -1,4 +1,4 @@
-/** What the slots of a process need of its other parts. */
+/** The options of `Slots`: the components and callbacks that it needs. */
 
 import type { Frame } from '../../gen/peer_pb.ts'
 import type { HostId } from '../../core/id/host.ts'
@@ -24,6 +24,8 @@
   readonly chance: () => number
   /** Sends a frame to every linked peer. */
   readonly broadcast: (body: Frame['body']) => void
+  /** Called when a link to the host is open. */
   readonly onLinked: (host: HostId) => void
+  /** Called with each frame about the configuration that a peer sends. */
   readonly onConfig: (from: HostId, body: Frame['body']) => void
 }
--- a/src/shell/node/takeslot.ts
+++ b/src/shell/node/takeslot.ts
@@ -1,4 +1,4 @@
-/** Starts the owner of one slot with what the settings and the configuration say. */
+/** Starts the owner of one slot with the parameters of the settings and the configuration. */
 
 import type { Config } from '../../core/config/config.ts'
 import type { EndpointId } from '../../core/id/endpoint.ts'
@@ -10,7 +10,7 @@
 type DatabaseGroup = Config['groups'][number]
 type RemainingOptions = Omit<Parameters<typeof SlotOwner.start>[0], 'addresses' | 'connections' | 'pace' | 'probeMs' | 'probeTimeoutMs' | 'endpoint'>
 
-/** The slot is this process's until it's handed over or closed. */
+/** Starts to hold a slot of the endpoint, until it is handed over or closed. */
 export function takeSlot (group: DatabaseGroup, endpoint: EndpointId, settings: Settings, rest: RemainingOptions): HeldSlot {
   const { failover } = settings
   const stop = new AbortController()
--- a/src/shell/node/usedgroups.ts
+++ b/src/shell/node/usedgroups.ts
@@ -1,7 +1,8 @@
-/** The groups that callers of this process use, counted by connection. */
+/** The groups that callers of this process use. */
 
 import type { GroupId } from '../../core/id/group.ts'
 
+/** Counts the connections that use each group. */
 export class UsedGroups {
   private readonly counts = new Map<GroupId, number>()
 
@@ -15,7 +16,7 @@
     return (this.counts.get(id) ?? 0) > 0
   }
 
-  /** Counts a caller of these groups until the signal is aborted; true when one of them wasn't used before. */
+  /** Counts a connection that uses these groups until the signal is aborted. Returns whether one of them wasn't in use before. */
   add (ids: readonly GroupId[], signal: AbortSignal): boolean {
     const isNew = ids.some(id => !this.has(id))
     this.count(ids, 1)
