--- a/src/cli/auditreader.ts
+++ b/src/cli/auditreader.ts
@@ -1,4 +1,4 @@
-/** The object store that a settings file names, and the reader of its audit records. */
+/** Opens the object store given in the settings, with a reader for its audit records. */
 
 import { AuditReader } from '../shell/audit/reader.ts'
 import type { ObjectStore } from '../shell/platform/objectstore.ts'
--- a/src/cli/burn.ts
+++ b/src/cli/burn.ts
@@ -1,4 +1,4 @@
-/** `agatepond burn`: reports how fast the service levels burn their budgets, from the audit records. */
+/** `agatepond burn`: reports the burn rate of error budgets, from the audit records. */
 
 import { writeFileSync } from 'node:fs'
 import { command, number, option, optional, string } from 'cmd-ts'
@@ -16,9 +16,9 @@
 import { requiredSettings } from './requiredsettings.ts'
 import { stop } from './stop.ts'
 
-/** At about 2,000 reads a second a report then takes some ten seconds of the store's reads. */
+/** Limits the time and the store reads that a report takes. */
 const DEFAULT_MAX_BATCHES = 20_000
-const DATE_CHARACTERS = 16
+const DATE_LENGTH = 16
 
 export const burn = command({
   name: 'burn',
@@ -44,7 +44,7 @@
   }
 })
 
-/** The newest configuration's, also for records of older ones: the report says what today's promises cost. */
+/** The service levels of the newest configuration, which also apply to records of older ones. */
 async function currentServiceLevels (store: ConfigStore): Promise<readonly ServiceLevel[]> {
   const newest = await readStore(async () => await store.newest())
   if (newest === undefined) return []
@@ -52,7 +52,7 @@
   return parseConfig(newest.version, JSON.parse(document)).match(config => config.serviceLevels, problem => stop(problem, exitCodes.refused))
 }
 
-/** To the minute, in UTC. */
+/** Formats a time in UTC, to the minute. */
 function dateOf (at: number): string {
-  return new Date(at).toISOString().slice(0, DATE_CHARACTERS).replace('T', ' ')
+  return new Date(at).toISOString().slice(0, DATE_LENGTH).replace('T', ' ')
 }
--- a/src/cli/configstore.ts
+++ b/src/cli/configstore.ts
@@ -1,4 +1,4 @@
-/** The store of configurations that a settings file names. */
+/** Opens the configuration store given in the settings. */
 
 import { ConfigStore } from '../shell/config/store.ts'
 import { DynamoTable } from '../shell/platform/dynamotable.ts'
--- a/src/cli/diff.ts
+++ b/src/cli/diff.ts
@@ -1,4 +1,4 @@
-/** `agatepond diff`: what changed between two versions of the configuration. */
+/** `agatepond diff`: lists the changes between two versions of the configuration. */
 
 import { command, number, positional } from 'cmd-ts'
 import { Difference } from '../core/config/difference.ts'
--- a/src/cli/document.ts
+++ b/src/cli/document.ts
@@ -1,4 +1,4 @@
-/** The document of a version, for commands that show or compare it. */
+/** Reads the configuration document of a version. */
 
 import type { ConfigVersion } from '../core/id/version.ts'
 import type { Json } from '../core/json.ts'
@@ -7,7 +7,7 @@
 import { readStore } from './readstore.ts'
 import { stop } from './stop.ts'
 
-/** Version 0 is what there is before the first patch. */
+/** Version 0 is the empty configuration before the first patch. Ends the command if the version doesn't exist. */
 export async function documentOf (store: ConfigStore, version: number): Promise<Json> {
   if (version === 0) return { groups: [], pools: [] }
   return await readStore(async () => {
--- a/src/cli/exitcodes.ts
+++ b/src/cli/exitcodes.ts
@@ -1,11 +1,11 @@
-/** Exit codes of the command line; the list stands in docs/OPERATIONS.md too. */
+/** Exit codes of the command line. Keep the list in docs/OPERATIONS.md in step. */
 
 export const exitCodes = {
   done: 0,
-  /** What was asked for didn't hold or wasn't found. */
+  /** The request was rejected, a check failed, or something was not found. */
   refused: 1,
-  /** The command, its settings or its input are wrong; nothing was started. */
+  /** The command line, the settings or the input is invalid; nothing was started. */
   usage: 2,
-  /** The outcome isn't known; ask again. */
+  /** The outcome is unknown; run the command again. */
   unknown: 3
 } as const
--- a/src/cli/explain.ts
+++ b/src/cli/explain.ts
@@ -1,4 +1,4 @@
-/** `agatepond explain`: tells what happened to a request, from the audit records. */
+/** `agatepond explain`: explains what happened to a request, from the audit records. */
 
 import { openAuditReader } from './auditreader.ts'
 import { explainCommand } from './explaincommand.ts'
--- a/src/cli/explaincommand.ts
+++ b/src/cli/explaincommand.ts
@@ -1,4 +1,4 @@
-/** Makes the command `explain` for a store: tells what happened to a request, from the audit records. */
+/** Creates the command `explain`, which explains what happened to a request, from the audit records. */
 
 import { command, flag, option, optional, positional, string } from 'cmd-ts'
 import { AuditId } from '../core/audit/id.ts'
@@ -20,7 +20,7 @@
   readonly json: boolean
 }
 
-/** `open`: the reader of the store that a settings file names; it ends the command when the settings are wrong. */
+/** `open` returns the reader for a settings file, and ends the command if the settings are invalid. */
 export function explainCommand (open: (settings: string) => AuditReader) {
   return command({
     name: 'explain',
@@ -68,8 +68,8 @@
   print(records.flatMap(record => choice.json ? [JSON.stringify(record)] : choice.request === undefined ? [summaryOf(record)] : descriptionOf(record)))
   const { problems, dropped } = checkRecords(reads)
   if (dropped > 0) process.stderr.write(`${dropped} records of this period were dropped by their processes\n`)
-  const damages = reads.flatMap(({ key, page }) => page.isErr() ? [`${key.text}: ${page.error}`] : [])
-  if (damages.length > 0) stop(damages.join('\n'), exitCodes.refused)
+  const unreadable = reads.flatMap(({ key, page }) => page.isErr() ? [`${key.text}: ${page.error}`] : [])
+  if (unreadable.length > 0) stop(unreadable.join('\n'), exitCodes.refused)
   if (problems.length > 0) stop(`${problems.length} problems; see agatepond explain --verify`, exitCodes.refused)
   if (records.length === 0) stop('no record of this period fits', exitCodes.refused)
 }
@@ -96,7 +96,7 @@
   return await readStore(async () => await reader.readAll(await reader.keys(from, now)))
 }
 
-/** `key`: the batch that holds it. */
+/** `key` names the batch that holds the record. */
 function descriptionOf (record: AuditRecord, key?: string): readonly string[] {
   const from = key === undefined ? '' : `, from ${key}`
   return [`Request ${record.fields.id}, ${dateOf(record)}${from}`, ...explanationOf(record)]
@@ -104,7 +104,7 @@
 
 function summaryOf (record: AuditRecord): string {
   const { id, kind, outcome, tookMs, session, attempts } = record.fields
-  const where = attempts.map(one => one.endpoint === '' ? 'nowhere' : one.endpoint).join(' > ')
+  const where = attempts.map(attempt => attempt.endpoint === '' ? 'nowhere' : attempt.endpoint).join(' > ')
   return `${dateOf(record)}  ${id}  session ${session}  ${kind}  ${where}  ${outcome ?? 'no outcome'}  ${tookMs ?? 0} ms`
 }
 
--- a/src/cli/history.ts
+++ b/src/cli/history.ts
@@ -1,4 +1,4 @@
-/** `agatepond history`: the accepted versions of the configuration, with who and why. */
+/** `agatepond history`: lists accepted versions of the configuration with author and reason. */
 
 import { command, number, option } from 'cmd-ts'
 import type { ConfigVersion } from '../core/id/version.ts'
--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -1,4 +1,4 @@
-/** `agatepond load`: asks hosts that pool connections by the addresses of their metrics. */
+/** `agatepond load`: shows the load of hosts, given the addresses of their metrics. */
 
 import { loadCommand } from './loadcommand.ts'
 
--- a/src/cli/loadcommand.ts
+++ b/src/cli/loadcommand.ts
@@ -1,4 +1,4 @@
-/** Makes the command `load`: what groups' endpoints are used for, who waits, and whose load it is. */
+/** Creates the command `load`, which shows the load of each group's endpoints, the waiting requests and the busiest teams. */
 
 import { array, command, multioption, option, optional, string } from 'cmd-ts'
 import { exitCodes } from './exitcodes.ts'
@@ -9,7 +9,10 @@
 
 const USAGE = "name hosts to ask: --at and the address of a host's metrics, such as 10.0.0.1:9464, or on the users' platform --settings and the settings file of a host"
 
-/** `listed`: where the hosts of a settings file's system tell of themselves, where that can be found out; it ends the command when the store doesn't say. */
+/**
+ * `listed` looks up the metrics addresses of all hosts that a settings file's store lists. It ends the command if the
+ * store doesn't answer, and is undefined on platforms without such a list.
+ */
 export function loadCommand (listed?: (settings: string) => Promise<readonly string[]>) {
   return command({
     name: 'load',
@@ -24,9 +27,9 @@
       const isListed = at.length === 0 && settings !== undefined
       const addresses = isListed ? await listed?.(settings) ?? [] : at
       if (addresses.length === 0) stop(USAGE, exitCodes.usage)
-      const { snapshot: picture, silent } = await surveyLoad(addresses)
-      if (picture.hosts.length === 0) stop(`no host told of its load: ${silent.join(', ')}; ask one by --at and the address of its metrics`, exitCodes.unknown)
-      process.stdout.write(json ? `${JSON.stringify({ ...picture.toJSON(), silent })}\n` : `${loadLines(picture, silent).join('\n')}\n`)
+      const { snapshot, silent } = await surveyLoad(addresses)
+      if (snapshot.hosts.length === 0) stop(`no host told of its load: ${silent.join(', ')}; ask one by --at and the address of its metrics`, exitCodes.unknown)
+      process.stdout.write(json ? `${JSON.stringify({ ...snapshot.toJSON(), silent })}\n` : `${loadLines(snapshot, silent).join('\n')}\n`)
     }
   })
 }
--- a/src/cli/loadlines.ts
+++ b/src/cli/loadlines.ts
@@ -1,4 +1,4 @@
-/** A picture of load as lines for a terminal. */
+/** Formats a load snapshot as lines for a terminal. */
 
 import { classes } from '../core/admission/classes.ts'
 import type { LoadSnapshot } from '../core/pool/load/loadsnapshot.ts'
@@ -6,10 +6,10 @@
 type Group = LoadSnapshot['groups'][number]
 type Row = readonly string[]
 
-/** Teams of a group that are shown; `--json` has all that the hosts told. */
+/** Teams that are listed for each group; `--json` lists all that the hosts reported. */
 const MAX_TEAMS = 5
 
-/** `silent`: hosts that didn't tell. */
+/** `silent` has the addresses of hosts that didn't report. */
 export function loadLines ({ hosts, groups }: LoadSnapshot, silent: readonly string[]): readonly string[] {
   return [
     `${hosts.length} hosts told${silent.length === 0 ? '' : `, ${silent.length} did not: ${silent.join(', ')}`}`,
@@ -19,7 +19,7 @@
 
 function linesOf (group: Group): readonly string[] {
   const { teams, rest } = group
-  const all = teams.reduce((sum, one) => sum + requestCount(one), requestCount(rest))
+  const total = teams.reduce((sum, team) => sum + requestCount(team), requestCount(rest))
   const shown = teams.slice(0, MAX_TEAMS)
   const others = teams.slice(MAX_TEAMS).reduce((sum, { done, refused }) => ({ done: sum.done + done, refused: sum.refused + refused }), rest)
   return [
@@ -38,8 +38,8 @@
     ]),
     ...table([
       ['team', 'part', 'done', 'refused'],
-      ...shown.map(one => [one.team, percentage(requestCount(one), all), String(one.done), String(one.refused)]),
-      ['all others', percentage(requestCount(others), all), String(others.done), String(others.refused)]
+      ...shown.map(row => [row.team, percentage(requestCount(row), total), String(row.done), String(row.refused)]),
+      ['all others', percentage(requestCount(others), total), String(others.done), String(others.refused)]
     ])
   ]
 }
@@ -53,6 +53,6 @@
   return done + refused
 }
 
-function percentage (count: number, all: number): string {
-  return all === 0 ? '-' : `${Math.round(count / all * 100)}%`
+function percentage (count: number, total: number): string {
+  return total === 0 ? '-' : `${Math.round(count / total * 100)}%`
 }
--- a/src/cli/loadsurvey.ts
+++ b/src/cli/loadsurvey.ts
@@ -1,31 +1,31 @@
-/** Asks hosts for the pictures of their load, and makes one of them. */
+/** Fetches the load snapshots of hosts and merges them. */
 
 import { LoadSnapshot } from '../core/pool/load/loadsnapshot.ts'
 
 interface LoadSurvey {
   readonly snapshot: LoadSnapshot
-  /** Addresses of those that gave none. */
+  /** Addresses of hosts without a valid response. */
   readonly silent: readonly string[]
 }
 
-/** A host that is slow is one to be looked at; it's told as silent. */
+/** Hosts that take longer are reported as silent. */
 const REQUEST_TIMEOUT_MS = 2000
-/** Questions that are open at a time, since a fleet may have thousands of hosts. */
+/** A fleet may have thousands of hosts. */
 const MAX_CONCURRENT_REQUESTS = 50
 
-/** `addresses`: such as `10.0.0.1:9464`. Resolves always. */
+/** `addresses` are like `10.0.0.1:9464`. Never rejects. */
 export async function surveyLoad (addresses: readonly string[]): Promise<LoadSurvey> {
-  let picture = LoadSnapshot.empty
+  let snapshot = LoadSnapshot.empty
   const silent: string[] = []
   for (let from = 0; from < addresses.length; from += MAX_CONCURRENT_REQUESTS) {
-    const asked = addresses.slice(from, from + MAX_CONCURRENT_REQUESTS)
-    const told = await Promise.all(asked.map(ask))
-    told.forEach((one, i) => {
-      if (one === undefined) silent.push(asked[i]!)
-      else picture = picture.with(one)
+    const batch = addresses.slice(from, from + MAX_CONCURRENT_REQUESTS)
+    const responses = await Promise.all(batch.map(ask))
+    responses.forEach((response, i) => {
+      if (response === undefined) silent.push(batch[i]!)
+      else snapshot = snapshot.with(response)
     })
   }
-  return { snapshot: picture, silent }
+  return { snapshot, silent }
 }
 
 async function ask (address: string): Promise<LoadSnapshot | undefined> {
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,4 @@
-/** The command line: one binary, one subcommand for each task. */
+/** Entry point of the command line. */
 
 import { binary, runSafely, subcommands } from 'cmd-ts'
 import { burn } from './burn.ts'
@@ -15,8 +15,7 @@
 import { trace } from './trace.ts'
 import { version } from './version.ts'
 
-// The platform's clients are pinned, so their notice about later versions isn't about this program; it would stand
-// between the lines of every command.
+// The AWS SDK's version is pinned, and its notice about future Node versions would clutter the output of every command.
 process.env.AWS_SDK_JS_NODE_VERSION_SUPPORT_WARNING_DISABLED ??= 'true'
 
 const app = subcommands({
--- a/src/cli/overviewcommand.ts
+++ b/src/cli/overviewcommand.ts
@@ -1,4 +1,4 @@
-/** Makes the command `status` for a platform that keeps configuration, hosts, endpoints and leases in its row store. */
+/** Creates the command `status` for a platform that stores configuration, hosts, endpoints and leases in tables of its store. */
 
 import { command } from 'cmd-ts'
 import type { Endpoint } from '../core/directory/endpoint.ts'
@@ -11,7 +11,7 @@
 
 type Stores = Pick<Platform, 'store' | 'config' | 'endpoints'> & { readonly leases: string, readonly hosts: string }
 
-/** `open`: the stores that a settings file names; it ends the command when the settings are wrong. */
+/** `open` returns the stores for a settings file, and ends the command if the settings are invalid. */
 export function overviewCommand (open: (settings: string) => Stores) {
   return command({
     name: 'status',
--- a/src/cli/patch.ts
+++ b/src/cli/patch.ts
@@ -1,4 +1,4 @@
-/** `agatepond patch`: submits a patch against a numbered version of the configuration. */
+/** `agatepond patch`: submits a change to a version of the configuration. */
 
 import { randomUUID } from 'node:crypto'
 import { userInfo } from 'node:os'
@@ -37,7 +37,7 @@
     const body = readPatch(file).match(value => value, problem => stop(problem, exitCodes.usage))
     const id = given ?? randomUUID()
     if (!/^[\w.-]{1,64}$/.test(id)) stop(`--id ${id}: write up to 64 letters, digits, "_", "-" and "."`, exitCodes.usage)
-    // Said before the store is asked, so that the id is known even when this command is killed.
+    // Printed before the submission, so that the id is known even if the command is killed.
     if (given === undefined) process.stderr.write(`patch id ${id}\n`)
     const verdict = await Submission.of(store, {
       base: base as ConfigVersion, id, by: by ?? userInfo().username, why: why ?? '', at: Date.now(), body
--- a/src/cli/patchfile.ts
+++ b/src/cli/patchfile.ts
@@ -1,11 +1,11 @@
-/** Reads a patch from a file, as JSON or TOML by its name. */
+/** Reads a patch from a JSON or TOML file, depending on its extension. */
 
 import { readFileSync } from 'node:fs'
 import { err, ok, type Result } from 'neverthrow'
 import { parse } from 'smol-toml'
 import type { Json } from '../core/json.ts'
 
-/** The patch, or one line with file, what is wrong and the remedy. */
+/** Returns the patch, or a one-line error with the file, the problem and the remedy. */
 export function readPatch (file: string): Result<Json, string> {
   const isToml = file.endsWith('.toml')
   try {
--- a/src/cli/readstore.ts
+++ b/src/cli/readstore.ts
@@ -1,4 +1,4 @@
-/** Reads of the store for a command, which ends when the store doesn't answer. */
+/** Runs a read of the store, and ends the command if the store doesn't answer. */
 
 import { exitCodes } from './exitcodes.ts'
 import { stop } from './stop.ts'
--- a/src/cli/registeredhosts.ts
+++ b/src/cli/registeredhosts.ts
@@ -1,4 +1,4 @@
-/** The hosts that the roll in the store names, by their newest word. Rows of hosts that ended long ago may be among them. */
+/** The hosts of the host registry, each with its newest incarnation. Hosts that stopped long ago may be among them. */
 
 import type { HostEntry } from '../core/pool/membership/hostentry.ts'
 import { registryRow } from '../core/pool/membership/registryrow.ts'
--- a/src/cli/requiredsettings.ts
+++ b/src/cli/requiredsettings.ts
@@ -1,4 +1,4 @@
-/** The settings for a command, which ends when they are wrong. */
+/** Reads the settings file of a command, and ends the command if it is invalid. */
 
 import { exitCodes } from './exitcodes.ts'
 import { readSettings } from './settingsfile.ts'
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -1,4 +1,4 @@
-/** `agatepond serve`: runs one proxy. */
+/** `agatepond serve`: runs a proxy. */
 
 import { command, option, string } from 'cmd-ts'
 import { Node } from '../shell/node/node.ts'
@@ -24,7 +24,7 @@
     const node = await Node.start(settings.value, stopped.signal)
     process.once('SIGTERM', () => {
       node.drain().then(() => {
-        // What was written last, to callers and peers, leaves before the sockets are closed.
+        // Lets the last writes to callers and peers leave before the sockets are closed.
         setTimeout(() => {
           node.audit.flush(settings.value.audit.flush).then(() => {
             stopped.abort()
--- a/src/cli/settingsfile.ts
+++ b/src/cli/settingsfile.ts
@@ -5,7 +5,7 @@
 import { parse, TomlError } from 'smol-toml'
 import { parseSettings } from '../core/settings/settings.ts'
 
-/** The settings of the file, or one line with file, key, what is wrong and the remedy. */
+/** Returns the settings, or a one-line error with the file, the key, the problem and the remedy. */
 export function readSettings (file: string): Result<ReturnType<ReturnType<typeof parseSettings>['_unsafeUnwrap']>, string> {
   try {
     return parseSettings(parse(readFileSync(file, 'utf8'))).mapErr(problem => `${file}: ${problem}`)
--- a/src/cli/show.ts
+++ b/src/cli/show.ts
@@ -1,4 +1,4 @@
-/** `agatepond show`: one version of the configuration. */
+/** `agatepond show`: prints one version of the configuration. */
 
 import { command, number, positional } from 'cmd-ts'
 import { openConfigStore } from './configstore.ts'
--- a/src/cli/status.ts
+++ b/src/cli/status.ts
@@ -1,4 +1,4 @@
-/** `agatepond status`: which host has which configuration in force. */
+/** `agatepond status`: shows the configuration version that each host runs. */
 
 import { command } from 'cmd-ts'
 import { surveyHosts } from '../shell/config/survey.ts'
@@ -23,8 +23,8 @@
       stop(`${hostList}: the host list does not answer (${err.message}); run the command again`, exitCodes.unknown))
     const newest = await openConfigStore(settings).newest().then(revision => revision?.version ?? 0, () => undefined)
     const findings = await surveyHosts(hosts, timeout, keys)
-    const highest = Math.max(newest ?? 0, ...findings.map(one => one.version))
-    const isWhole = findings.every(one => one.state === 'leaving' || (one.isReady && one.version === highest))
+    const highest = Math.max(newest ?? 0, ...findings.map(host => host.version))
+    const isWhole = findings.every(host => host.state === 'leaving' || (host.isReady && host.version === highest))
     if (json) process.stdout.write(`${JSON.stringify({ newest, isStoreUp: newest !== undefined, hosts: findings })}\n`)
     else print(newest, findings)
     process.exit(isWhole ? exitCodes.done : exitCodes.refused)
--- a/src/cli/stop.ts
+++ b/src/cli/stop.ts
@@ -1,4 +1,4 @@
-/** Ends a command with a line on standard error. */
+/** Prints a line on standard error and ends the process with an exit code. */
 
 import type { exitCodes } from './exitcodes.ts'
 
--- a/src/cli/time.ts
+++ b/src/cli/time.ts
@@ -1,9 +1,9 @@
-/** A point in time on the command line: an age or a date. */
+/** Parses a time given on the command line, as an age or a date. */
 
 import { err, ok, type Result } from 'neverthrow'
 import { parseDuration } from '../core/settings/duration.ts'
 
-/** Milliseconds since 1970 of a text such as `15m` (so long ago) or `2026-03-01T08:00:00Z`. */
+/** Returns milliseconds since the epoch for an age such as `15m` or a date such as `2026-03-01T08:00:00Z`. */
 export function parseTime (text: string, now: number): Result<number, string> {
   const age = parseDuration(text)
   if (age.isOk()) return ok(now - age.value)
--- a/src/cli/tlskeys.ts
+++ b/src/cli/tlskeys.ts
@@ -1,4 +1,4 @@
-/** The keys for links by the settings; the command ends when they can't be used. */
+/** Reads the TLS keys for peer links that the settings name. Ends the command if they can't be used. */
 
 import { TlsKeys } from '../shell/peer/tlskeys.ts'
 import { exitCodes } from './exitcodes.ts'
--- a/src/cli/trace.ts
+++ b/src/cli/trace.ts
@@ -1,4 +1,4 @@
-/** `agatepond trace`: the story of one request from the logs of several hosts. */
+/** `agatepond trace`: prints the timeline of one request from the logs of several hosts. */
 
 import { createInterface } from 'node:readline'
 import { command, positional, string } from 'cmd-ts'
@@ -13,16 +13,16 @@
   args: { id: positional({ type: string, displayName: 'id', description: 'the id of a statement or of a transaction' }) },
   handler: async ({ id }) => {
     const lines: LogLine[] = []
-    let unread = 0
+    let unparsed = 0
     for await (const text of createInterface({ input: process.stdin })) {
       const line = LogLine.parse(text)
-      if (line === undefined) unread++
+      if (line === undefined) unparsed++
       else lines.push(line)
     }
-    const story = timelineOf(id, lines)
-    for (const text of story) process.stdout.write(`${text}\n`)
-    if (unread > 0) process.stderr.write(`passed over ${unread} lines that are cut or not agatepond's\n`)
-    if (story.length > 0) return
+    const timeline = timelineOf(id, lines)
+    for (const text of timeline) process.stdout.write(`${text}\n`)
+    if (unparsed > 0) process.stderr.write(`passed over ${unparsed} lines that are cut or not agatepond's\n`)
+    if (timeline.length > 0) return
     process.stderr.write(`no line has the id ${id}; statements that end well are sampled, one in 64, and lines over the budget are dropped (event 6005)\n`)
     process.exit(exitCodes.refused)
   }
--- a/src/cli/version.ts
+++ b/src/cli/version.ts
@@ -1,4 +1,4 @@
-/** `agatepond version`. */
+/** `agatepond version`: prints the version of this program. */
 
 import { command } from 'cmd-ts'
 import manifest from '../../package.json'
--- a/src/shell/mysql/binaryrowencoder.ts
+++ b/src/shell/mysql/binaryrowencoder.ts
@@ -1,4 +1,4 @@
-/** Rows of the text protocol turned into rows of the binary protocol. */
+/** Converts rows of the MySQL text protocol to the binary protocol. */
 
 const enum ColumnType {
   Tiny = 1,
@@ -17,14 +17,14 @@
 
 const NULL_MARKER = 0xfb
 const INTEGER = /^-?\d+$/
-/** Result rows of the binary protocol leave two bits of their null bitmap unused. */
+/** The first two bits of a result row's null bitmap are reserved. */
 const BITMAP_SHIFT = 2
 
-/** A date with its length. */
+/** Size of an encoded date, including its length byte. */
 const DATE_BYTES = 5
 const MICROSECOND_BYTES = 4
 
-/** Encodes the rows of one result; made from the column definitions of its head. */
+/** Encodes the rows of one result set. Create it from the result's column definitions. */
 export class BinaryRowEncoder {
   private constructor (private readonly types: readonly number[]) {}
 
@@ -32,7 +32,7 @@
     return new BinaryRowEncoder(columns.map(typeOf))
   }
 
-  /** Throws a RangeError when the row doesn't fit its columns. */
+  /** Throws a RangeError if the row doesn't match its column definitions. */
   encode (textRow: Uint8Array): Buffer {
     const row = Buffer.from(textRow.buffer, textRow.byteOffset, textRow.length)
     const bitmap = Buffer.alloc(this.types.length + 7 + BITMAP_SHIFT >> 3)
@@ -71,7 +71,7 @@
   }
 }
 
-/** Two's complement of any width; unsigned values have the same bytes. */
+/** Encodes an integer in two's complement; unsigned values have the same bytes. */
 function encodeInteger (text: string, bytes: number): Buffer {
   if (!INTEGER.test(text)) throw new RangeError(`"${text}" isn't a whole number`)
   const buffer = Buffer.allocUnsafe(8)
@@ -101,12 +101,12 @@
   return buffer
 }
 
-/** Clients print the microseconds that are sent, so a value without them must not have any. */
+/** Drops microseconds that are zero: clients print whatever microseconds are sent. */
 function omitZeroMicroseconds (value: Buffer): Buffer {
-  const short = value.length - MICROSECOND_BYTES
-  if (value.readUInt32LE(short) !== 0) return value
-  value[0] = short - 1
-  return value.subarray(0, short)
+  const shortLength = value.length - MICROSECOND_BYTES
+  if (value.readUInt32LE(shortLength) !== 0) return value
+  value[0] = shortLength - 1
+  return value.subarray(0, shortLength)
 }
 
 function time (text: string): Buffer {
@@ -128,7 +128,7 @@
   return fraction === undefined ? 0 : Number(fraction.padEnd(6, '0').slice(0, 6))
 }
 
-/** The type byte of a column definition: after six length-coded strings, a length, a charset and a width. */
+/** Reads the type byte of a column definition. It follows six length-coded strings, a length, a character set and a width. */
 function typeOf (column: Uint8Array): number {
   const data = Buffer.from(column.buffer, column.byteOffset, column.length)
   let offset = 0
--- a/src/shell/mysql/login.ts
+++ b/src/shell/mysql/login.ts
@@ -1,12 +1,14 @@
-/** What a client said of itself when it connected. */
+/** The login request of a MySQL client. */
 
 export interface Login {
   readonly user: string
   readonly database: string
+  /** Connection attributes that the client sent. */
   readonly attributes: Readonly<Record<string, string>>
+  /** IP address of the client. */
   readonly address: string
-  /** Whether the client knows the password of the hash. */
+  /** Checks the client's password against a double SHA-1 hash in hexadecimal. */
   verifyPassword (passwordHash: string): boolean
-  /** Closes the connection after what was written to it. */
+  /** Closes the connection once everything written to it has been sent. */
   closeConnection (): void
 }
--- a/src/shell/mysql/nativepassword.ts
+++ b/src/shell/mysql/nativepassword.ts
@@ -1,11 +1,11 @@
-/** The check of mysql_native_password. */
+/** Password verification for mysql_native_password. */
 
 import { createHash, timingSafeEqual } from 'node:crypto'
 
 /**
- * Whether the client's answer proves the password whose double SHA-1 is
- * `passwordHash`, for the scramble that the server sent. Only the double hash
- * is kept, so a leaked configuration doesn't let anyone sign in.
+ * Whether the client's response matches the password whose double SHA-1 is
+ * `passwordHash`, given the scramble that the server sent. Only the double hash
+ * is stored, so a leaked configuration doesn't let anyone sign in.
  */
 export function isNativePassword (answer: Buffer, scramble: Buffer, passwordHash: string): boolean {
   const stored = Buffer.from(passwordHash, 'hex')
--- a/src/shell/mysql/okpacket.ts
+++ b/src/shell/mysql/okpacket.ts
@@ -1,4 +1,4 @@
-/** The OK packet of an endpoint: counts, status, and the position of a write. */
+/** OK packets: counts, status flags, and the replication position of a write. */
 
 import { Token } from '../../core/token.ts'
 import type { Wire } from './wire.ts'
@@ -8,17 +8,17 @@
 const SESSION_STATE_CHANGED = 0x4000
 const TRACK_GTIDS = 3
 
-/** What an endpoint's OK packet says. */
+/** The contents of an OK packet. */
 export class OkPacket {
   private constructor (
     readonly affected: number,
     readonly insertId: number,
     readonly status: number,
-    /** Where the write went into the log; undefined when nothing was written. */
+    /** Position of the write in the replication log; undefined if nothing was written. */
     readonly token: Token | undefined
   ) {}
 
-  /** Throws a RangeError when the packet is cut short or its lengths reach past it. */
+  /** Decodes a packet. Throws a RangeError if it is truncated or a length in it exceeds its size. */
   static read (packet: IncomingPacket): OkPacket {
     try {
       return OkPacket.parse(packet)
@@ -36,7 +36,7 @@
     return new OkPacket(affected, insertId, status, readToken(packet, status))
   }
 
-  /** The payload that carries a token in the session state, as MySQL carries a GTID. */
+  /** Encodes a payload that carries a token in the session state, in the place of a GTID. */
   static encode (affected: number, insertId: number, status: number, token: Token): Buffer {
     const gtid = Buffer.from(token.toString())
     const state = Buffer.concat([
--- a/src/shell/mysql/payload.ts
+++ b/src/shell/mysql/payload.ts
@@ -1,4 +1,4 @@
-/** The bytes of a packet without its header. */
+/** Copies the payload of a packet, without the header. */
 
 import type { Wire } from './wire.ts'
 
@@ -6,7 +6,7 @@
 
 const HEADER_BYTES = 4
 
-/** A copy of the payload; mysql2 reuses the buffer that a packet points into. */
+/** Returns a copy, since mysql2 reuses the buffer behind a packet. */
 export function payloadOf (packet: IncomingPacket): Buffer {
   return Buffer.from(packet.buffer.subarray(packet.start + HEADER_BYTES, packet.end))
 }
--- a/src/shell/mysql/preparedstatement.ts
+++ b/src/shell/mysql/preparedstatement.ts
@@ -1,4 +1,4 @@
-/** A statement that a caller prepared, and the values that it's executed with. */
+/** Prepared statements of callers, and the binding of their parameters. */
 
 import { findPlaceholders } from '../../core/routing/placeholders.ts'
 
@@ -20,23 +20,28 @@
 
 const UNSIGNED = 0x80
 /**
- * Text that means the same between quotes whatever the endpoint's sql_mode. A
- * backslash doesn't: with NO_BACKSLASH_ESCAPES an escaped quote would end the
- * text, and what a caller sent as a value would run as SQL.
+ * Text that is safe in a quoted literal under every sql_mode. A backslash is
+ * not: under NO_BACKSLASH_ESCAPES an escaped quote would end the literal and
+ * allow SQL injection.
  */
 const SAFE_TEXT = /^[^\\\0]*$/
-/** Statement id, flags and iteration count before the null bitmap. */
+/** Size of the statement id, flags and iteration count, which precede the null bitmap. */
 const FIXED_BYTES = 9
 
 /**
- * A prepared statement. Endpoints see it as text with its values in place:
- * a prepared statement lives on one connection, and a caller's statements
- * run on whichever connection of whichever endpoint is free.
+ * A prepared statement. Endpoints receive it as text with the parameter values
+ * inserted: a prepared statement belongs to one connection, while the
+ * statements of a caller run on any connection to any endpoint.
  */
 export class PreparedStatement {
   private types: readonly number[] = []
 
-  private constructor (readonly id: number, readonly sql: string, private readonly places: readonly number[]) {}
+  private constructor (
+    readonly id: number,
+    readonly sql: string,
+    /** Offsets of the placeholders (`?`) in `sql`. */
+    private readonly places: readonly number[]
+  ) {}
 
   static of (id: number, sql: string): PreparedStatement {
     return new PreparedStatement(id, sql, findPlaceholders(sql))
@@ -46,7 +51,7 @@
     return this.places.length
   }
 
-  /** The text to run for a COM_STMT_EXECUTE payload. Throws a RangeError when the payload is cut short. */
+  /** Returns the SQL text for the payload of a COM_STMT_EXECUTE. Throws a RangeError if the payload is truncated. */
   bind (payload: Buffer): string {
     if (this.places.length === 0) return this.sql
     const bitmap = payload.subarray(FIXED_BYTES, FIXED_BYTES + (this.places.length + 7 >> 3))
@@ -55,19 +60,19 @@
       this.types = this.places.map((_, i) => payload.readUInt16LE(offset + i * 2))
       offset += this.places.length * 2
     }
-    const cursor = new ParameterReader(payload, offset)
+    const reader = new ParameterReader(payload, offset)
     let sql = ''
     let from = 0
     this.places.forEach((place, i) => {
       const isNull = (bitmap[i >> 3]! >> (i & 7) & 1) === 1
-      sql += this.sql.slice(from, place) + (isNull ? 'NULL' : cursor.literal(this.types[i] ?? ParameterType.Null))
+      sql += this.sql.slice(from, place) + (isNull ? 'NULL' : reader.literal(this.types[i] ?? ParameterType.Null))
       from = place + 1
     })
     return sql + this.sql.slice(from)
   }
 }
 
-/** Reads values of the binary protocol as SQL literals. */
+/** Decodes parameters of the binary protocol into SQL literals. */
 class ParameterReader {
   constructor (private readonly data: Buffer, private offset: number) {}
 
--- a/src/shell/mysql/querycommand.ts
+++ b/src/shell/mysql/querycommand.ts
@@ -1,4 +1,4 @@
-/** One text query on an endpoint's connection, relayed packet by packet. */
+/** COM_QUERY on an endpoint's connection, with the result relayed packet by packet. */
 
 import { OkPacket } from './okpacket.ts'
 import { RawPacket } from './rawpacket.ts'
@@ -13,9 +13,9 @@
 const LOCAL_INFILE = 0xfb
 
 /**
- * The client side of COM_QUERY for mysql2's command queue. Column definitions
- * and rows pass through undecoded: a proxy has no use for their values, and
- * decoding them was most of the cost of a statement.
+ * The client side of COM_QUERY, for mysql2's command queue. Column definitions
+ * and rows are passed on undecoded: the proxy doesn't need their values, and
+ * decoding them is expensive.
  */
 export class QueryCommand {
   private state: 'start' | 'header' | 'columns' | 'rows' = 'start'
@@ -28,7 +28,7 @@
     return new QueryCommand(sql, sink)
   }
 
-  /** Called by mysql2 for each packet; true ends the command. */
+  /** Called by mysql2 for each packet. Returns true when the command has ended. */
   execute (packet: IncomingPacket | undefined, wire: Wire): boolean {
     if (packet === undefined) return this.start(wire)
     if (packet.isError()) return this.handleError(packet)
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Called by mysql2 when the connection is lost before the command ended. */
+  /** Called by mysql2 if the connection is lost before the command has ended. */
   onResult (err: Error): void {
     this.sink.connectionLost(err)
   }
@@ -107,7 +107,7 @@
     return true
   }
 
-  /** A second result can't be told from the answer to the next statement once the first was relayed. */
+  /** Once the first result has been relayed, a second one can't be distinguished from the reply to the next statement. */
   private rejectMultipleResults (wire: Wire): boolean {
     this.sink.connectionLost(new Error('a statement with more than one result is not supported; call it for one result at a time'))
     wire.destroy()
@@ -115,7 +115,7 @@
   }
 }
 
-/** Against an endpoint that sends what can't be read: an error thrown to mysql2's reader would end the process. */
+/** Returns a decoding error instead of throwing it: an error thrown into mysql2's packet reader would end the process. */
 function tryRead<T> (read: () => T): T | Error {
   try {
     return read()
--- a/src/shell/mysql/querysink.ts
+++ b/src/shell/mysql/querysink.ts
@@ -1,19 +1,19 @@
-/** Takes the answer to one query as it arrives from an endpoint. */
+/** Receives the reply to one query as it arrives from an endpoint. */
 
 import type { OkPacket } from './okpacket.ts'
 
-/** Exactly one of `ok`, `end`, `error` and `lost` is called, as the last call. */
+/** Exactly one of `ok`, `end`, `error` and `connectionLost` is called, as the last call. */
 export interface QuerySink {
-  /** The column definitions, as raw packets. */
+  /** The column definitions, as payloads of packets. */
   head (columns: readonly Buffer[]): void
-  /** One row of the text protocol, as a raw packet. */
+  /** One row of the text protocol, as the payload of a packet. */
   row (row: Buffer): void
-  /** The statement ran and has no rows. */
+  /** The statement succeeded without a result set. */
   ok (packet: OkPacket): void
-  /** The result is whole. `status` holds the server's flags. */
+  /** The result set is complete. `status` holds the server's status flags. */
   end (status: number): void
-  /** The endpoint refused the statement, or broke off its result, with a MySQL error. */
+  /** The endpoint rejected the statement or aborted its result with a MySQL error. */
   error (code: number, message: string): void
-  /** The connection was lost; whether the statement ran isn't known from here. */
+  /** The connection was lost; the statement may or may not have run. */
   connectionLost (err: Error): void
 }
--- a/src/shell/mysql/rawpacket.ts
+++ b/src/shell/mysql/rawpacket.ts
@@ -1,8 +1,8 @@
-/** A packet with a ready payload, in the form that a mysql2 connection writes. */
+/** A packet with an encoded payload, in the form that a mysql2 connection writes. */
 
 const HEADER_BYTES = 4
 
-/** Lets mysql2 write bytes that another MySQL peer made, without decoding them. */
+/** Lets mysql2 write a payload from another MySQL peer without decoding it. */
 export class RawPacket {
   private constructor (readonly buffer: Buffer) {}
 
@@ -12,7 +12,7 @@
     return new RawPacket(buffer)
   }
 
-  /** A command packet of the client side: the command's byte and its text. */
+  /** A client command: the command byte followed by its text. */
   static command (code: number, text: string): RawPacket {
     const size = Buffer.byteLength(text)
     const buffer = Buffer.allocUnsafe(HEADER_BYTES + 1 + size)
@@ -21,7 +21,7 @@
     return new RawPacket(buffer)
   }
 
-  /** The name mysql2 calls; the length of the payload. */
+  /** Payload size in bytes. The name is the one that mysql2 calls. */
   length (): number {
     return this.buffer.length - HEADER_BYTES
   }
--- a/src/shell/mysql/reply.ts
+++ b/src/shell/mysql/reply.ts
@@ -1,4 +1,4 @@
-/** Writes the answer to one command of a MySQL client. */
+/** Writes the reply to one command of a MySQL client. */
 
 import { RawPacket } from './rawpacket.ts'
 import type { Wire } from './wire.ts'
@@ -6,13 +6,13 @@
 const AUTOCOMMIT = 2
 const IN_TRANSACTION = 1
 
-/** The definition of a parameter: catalog `def`, no names, a string of any length. */
+/** A parameter definition: catalog `def`, no names, a string of any length. */
 const PARAMETER_DEFINITION = Buffer.from([3, 0x64, 0x65, 0x66, 0, 0, 0, 1, 0x3f, 0, 12, 45, 0, 255, 255, 0, 0, 253, 0, 0, 0, 0, 0])
 
-/** The answer to one command. After `ok`, `end` or `error` nothing more is written. */
+/** The reply to one command. Nothing more is written after `ok`, `end` or `error`. */
 export class Reply {
   private isOver = false
-  /** Shared by all batches of rows that wait, which are many for small rows. */
+  /** Pending until the stream drains; shared by all batches of rows that wait for it. */
   private draining: Promise<void> | undefined
 
   private constructor (private readonly wire: Wire) {}
@@ -22,7 +22,7 @@
     return new Reply(wire)
   }
 
-  /** Whether part of a result was written, after which only its end or an error may follow. */
+  /** Whether a result set was begun, after which only its rows, its end or an error may follow. */
   private hasHead = false
 
   get hasStarted (): boolean {
@@ -44,7 +44,7 @@
     this.finish()
   }
 
-  /** A payload that the caller made, such as an OK packet with session state. */
+  /** Writes an encoded payload, such as an OK packet with session state. Does not finish the reply. */
   raw (payload: Uint8Array): void {
     if (this.isOver) return
     this.wire.writePacket(RawPacket.of(payload))
@@ -60,7 +60,7 @@
     this.uncork()
   }
 
-  /** Writes rows; false when the client takes them slower than they come and `drained` should be awaited. */
+  /** Writes rows. Returns false if the client reads more slowly than rows arrive; await `waitForDrain` then. */
   rows (rows: readonly Uint8Array[]): boolean {
     if (this.isOver) return true
     this.wire.stream.cork()
@@ -69,24 +69,24 @@
     return !this.wire.stream.writableNeedDrain
   }
 
-  /** Resolves when the client has taken what was written, or is gone. */
+  /** Resolves when the write buffer has drained or the client has disconnected. */
   async waitForDrain (): Promise<void> {
     const { stream } = this.wire
     if (!stream.writableNeedDrain || stream.destroyed) return
     this.draining ??= new Promise<void>(resolve => {
-      const settle = (): void => {
-        stream.off('drain', settle)
-        stream.off('close', settle)
+      const onDrained = (): void => {
+        stream.off('drain', onDrained)
+        stream.off('close', onDrained)
         this.draining = undefined
         resolve()
       }
-      stream.on('drain', settle)
-      stream.on('close', settle)
+      stream.on('drain', onDrained)
+      stream.on('close', onDrained)
     })
     await this.draining
   }
 
-  /** The answer to COM_STMT_PREPARE. Columns are told with the result, once an endpoint has run it. */
+  /** The reply to COM_STMT_PREPARE. It has no column definitions: they come with the result of each execution. */
   prepareOk (id: number, parameters: number): void {
     if (this.isOver) return
     const header = Buffer.alloc(12)
@@ -116,9 +116,9 @@
   }
 
   /**
-   * Packets of one turn leave in one write; a write each cost most of the time
-   * of a small result. A tick alone runs before the promises that lead from the
-   * last row to the result's end, so it waits for those first.
+   * Sends all packets of one event loop turn in a single write. `nextTick` alone
+   * would run before the promise callbacks between the last row and the end of
+   * the result, so it is scheduled from a microtask.
    */
   private uncork (): void {
     queueMicrotask(() => process.nextTick(() => this.wire.stream.uncork()))
--- a/src/shell/mysql/resetcommand.ts
+++ b/src/shell/mysql/resetcommand.ts
@@ -7,14 +7,14 @@
 
 const COM_RESET_CONNECTION = 31
 
-/** Rolls back and clears all that a borrower left on the connection. For mysql2's command queue. */
+/** Rolls back and clears the session state that a borrower left on the connection. For mysql2's command queue. */
 export class ResetCommand {
   private hasStarted = false
 
-  private constructor (private readonly settle: (isReset: boolean) => void) {}
+  private constructor (private readonly onReset: (isReset: boolean) => void) {}
 
-  static of (settle: (isReset: boolean) => void): ResetCommand {
-    return new ResetCommand(settle)
+  static of (onReset: (isReset: boolean) => void): ResetCommand {
+    return new ResetCommand(onReset)
   }
 
   execute (packet: IncomingPacket | undefined, wire: Wire): boolean {
@@ -24,12 +24,12 @@
       wire.writePacket(RawPacket.command(COM_RESET_CONNECTION, ''))
       return false
     }
-    this.settle(!packet.isError())
+    this.onReset(!packet.isError())
     return true
   }
 
-  /** Called by mysql2 when the connection is lost before the answer. */
+  /** Called by mysql2 if the connection is lost before the reply. */
   onResult (): void {
-    this.settle(false)
+    this.onReset(false)
   }
 }
--- a/src/shell/mysql/server.ts
+++ b/src/shell/mysql/server.ts
@@ -1,4 +1,4 @@
-/** The server side of the MySQL protocol, for one listening address. */
+/** The server side of the MySQL protocol on one listening address. */
 
 import type { Server } from 'node:net'
 import mysql from 'mysql2'
@@ -12,9 +12,9 @@
 interface Options {
   readonly host: string
   readonly port: number
-  /** Whether OK packets may carry session state; endpoints send positions in it. */
+  /** Whether OK packets may carry session state, in which endpoints send replication positions. */
   readonly tracksSession: boolean
-  /** Yields the handler of a connection, or the error that refuses it. */
+  /** Resolves with the handler of a connection, or with the error that rejects the login. */
   readonly accept: (login: Login) => Promise<CommandHandler | LoginError>
 }
 
@@ -38,10 +38,10 @@
 }
 
 const ER_UNKNOWN_COMMAND = 1047
-/** Bytes of one packet: of a login, and of a command, as MySQL's default `max_allowed_packet` has it. */
 const MAX_LOGIN_BYTES = 64 * 1024
+/** MySQL's default `max_allowed_packet`. */
 const MAX_COMMAND_BYTES = 64 * 1024 * 1024
-/** A client that hasn't signed in by then is closed. */
+/** Connections that haven't signed in after this time are closed. */
 const LOGIN_TIMEOUT_MS = 10_000
 const PROTOCOL_VERSION = 10
 const UTF8MB4 = 45
@@ -49,14 +49,14 @@
 const CAPABILITIES = 0x1 | 0x2 | 0x4 | 0x8 | 0x200 | 0x2000 | 0x8000 | 0x80000 | 0x100000
 const SESSION_TRACK = 0x800000
 
-/** A listening MySQL server. Stops when the signal is aborted. */
+/** A listening MySQL server. Stops and closes its connections when the signal is aborted. */
 export class MysqlServer {
   private readonly wires = new Set<Wire>()
   private nextConnection = 1
 
   private constructor (private readonly options: Options, private readonly server: ReturnType<typeof mysql.createServer>) {}
 
-  /** Resolves when the server listens; rejects with the system's error when the address can't be had. */
+  /** Resolves when the server listens. Rejects with the system error if it cannot bind the address. */
   static async listen (options: Options, signal: AbortSignal): Promise<MysqlServer> {
     const server = mysql.createServer(() => undefined)
     const it = new MysqlServer(options, server)
@@ -70,11 +70,12 @@
     return it
   }
 
+  /** Number of open connections. */
   get connections (): number {
     return this.wires.size
   }
 
-  /** Takes no new connections; the open ones go on. */
+  /** Stops accepting connections; open ones stay. */
   close (): void {
     netServer(this.server).close()
   }
@@ -85,8 +86,7 @@
   }
 
   private accept (wire: Wire): void {
-    // mysql2 gives every connection room for 16,000 prepared statements that it asks for, half a megabyte before the
-    // first request. The accepting side asks for none, and there are thousands of callers.
+    // mysql2 allocates a cache of prepared statements for each connection (half a megabyte). Only the client side uses it.
     wire._statements = undefined
     const connection = Connection.open(wire, this.options, this.nextConnection++)
     this.wires.add(wire)
@@ -97,18 +97,18 @@
   }
 }
 
-/** mysql2 keeps its listening socket private; its own wrappers report neither errors nor the end. */
+/** The listening socket, which mysql2 keeps private. mysql2's own wrappers report neither errors nor the close. */
 function netServer (server: ReturnType<typeof mysql.createServer>): Server {
   return (server as unknown as { _server: Server })._server
 }
 
-/** One client's connection: signs it in, then hands its commands on one at a time. */
+/** A client connection: authenticates the client, then passes its commands to the handler one at a time. */
 class Connection {
   private handler: CommandHandler | undefined
   private readonly waiting: Buffer[] = []
   private isBusy = false
   private hasLogin = false
-  /** Bytes that arrived since the last whole packet. */
+  /** Bytes received since the last complete packet. */
   private pendingBytes = 0
 
   private constructor (private readonly wire: Wire) {}
@@ -116,7 +116,7 @@
   static open (wire: Wire, options: Options, id: number): Connection {
     const it = new Connection(wire)
     wire.stream.setNoDelay(true)
-    // Malformed input makes mysql2 throw inside its parser; it reports that here and closes the connection.
+    // mysql2 reports malformed input here.
     wire.on('error', () => wire.stream.destroy())
     wire.on('warn', () => wire.stream.destroy())
     wire.serverHandshake({
@@ -135,7 +135,7 @@
         if (it.handler !== undefined) {
           it.enqueue(payloadOf(packet!))
         } else if (it.hasLogin) {
-          // A command before the answer to the login: nobody has signed in yet.
+          // A command that was sent before the login was answered: the client is not authenticated yet.
           wire.stream.destroy()
         } else {
           it.hasLogin = true
@@ -151,9 +151,9 @@
   }
 
   /**
-   * mysql2 keeps whatever arrives of a packet until it is whole. Against a
-   * client that announces a huge packet, or a command without end, and fills
-   * the process's memory, before it has even signed in.
+   * Closes the connection if a packet exceeds its size limit. mysql2 buffers a
+   * packet until it is complete, so an oversized one would exhaust the memory
+   * of the process, even before the client has signed in.
    */
   private limitPacketSize (bytes: number): void {
     this.pendingBytes += bytes
@@ -199,7 +199,7 @@
     try {
       await this.dispatch(payload)
     } catch {
-      // A handler that throws can't say how far its answer got, so nothing more may be sent.
+      // The reply may be partly written, so nothing more may be sent on this connection.
       this.wire.stream.destroy()
     }
     this.isBusy = false
@@ -224,7 +224,7 @@
       case Command.Execute: return await handler.execute(body, Reply.of(wire))
       case Command.ResetConnection: return await handler.reset(Reply.of(wire))
       case Command.SendLongData:
-        // It has no answer, so an error would be taken for the answer to the next command.
+        // Not supported. The command has no reply, so the client would take an error for the reply to its next command.
         wire.stream.destroy()
         return
       case Command.Ping:
--- a/src/shell/mysql/textresult.ts
+++ b/src/shell/mysql/textresult.ts
@@ -1,15 +1,15 @@
-/** One value of the proxy's own as a result of one column and one row. */
+/** A result set of one column and one row, for values that come from the proxy itself. */
 
 import { BinaryRowEncoder } from './binaryrowencoder.ts'
 import type { Reply } from './reply.ts'
 
 const VAR_STRING = 253
 const UTF8MB4 = 45
-/** Character set, width, type, flags, decimals and two bytes that stay 0, after their own length. */
+/** A column definition's fixed-length fields, after their length: character set, width, type, flags, decimals and filler. */
 const FIXED_FIELDS = Buffer.from([12, UTF8MB4, 0, 0, 4, 0, 0, VAR_STRING, 0, 0, 0, 0, 0])
 const CATALOG = 'def'
 
-/** Answers a query for one text of at most 250 bytes. */
+/** Replies to a query with one text value of at most 250 bytes. */
 export function writeTextResult (reply: Reply, name: string, value: string, isBinary: boolean): void {
   const column = Buffer.concat([...[CATALOG, '', '', '', name, name].map(lengthCoded), FIXED_FIELDS])
   const row = lengthCoded(value)
--- a/src/shell/mysql/wire.ts
+++ b/src/shell/mysql/wire.ts
@@ -1,10 +1,10 @@
-/** The parts of mysql2's connection that this project drives and its types leave out. */
+/** The parts of a mysql2 connection that the proxy uses and mysql2's type declarations omit. */
 
 import type { Socket } from 'node:net'
 import type { EventEmitter } from 'node:events'
 import type { RawPacket } from './rawpacket.ts'
 
-/** A packet that arrived, as mysql2 parses it. Payload bytes are `buffer[start + 4 … end)`. */
+/** A received packet, as mysql2 parses it. Its payload is `buffer[start + 4 … end)`. */
 interface IncomingPacket {
   readonly buffer: Buffer
   readonly start: number
@@ -27,12 +27,12 @@
   execute (packet: IncomingPacket | undefined, wire: Wire): boolean
 }
 
-/** One side's connection. `addCommand` takes anything with `execute`, called for each packet until it returns true. */
+/** A connection of either side. `execute` of an added command is called for each packet until it returns true. */
 export interface Wire extends EventEmitter {
   readonly stream: Socket
   sequenceId: number
   _command: Command | null
-  /** Statements that this side has prepared at the other. */
+  /** Cache of the statements that this side has prepared at the other. */
   _statements?: unknown
   readonly clientHelloReply?: {
     readonly user: string
